--- a/magnoliacove/agent/keeper.py
+++ b/magnoliacove/agent/keeper.py
@@ -342,7 +342,7 @@
             )
 
     def _saw_creation(self, service: str) -> bool:
-        first = self._view.first_stored
+        first = self._view.first_stored_version
         held = self._view.document.held[(configuration.Service.kind, service)]
         return first is not None and held.created > first
 
--- a/magnoliacove/directory/__init__.py
+++ b/magnoliacove/directory/__init__.py
@@ -1,4 +1,4 @@
-"""Membership: which instances there are, and how news of them travels."""
+"""Membership: known instances and targets, and how updates spread."""
 
 from typing import TYPE_CHECKING
 
--- a/magnoliacove/directory/backoff.py
+++ b/magnoliacove/directory/backoff.py
@@ -1,4 +1,4 @@
-"""Pauses between tries of a call that failed."""
+"""Pauses between the attempts of a failed call."""
 
 import random
 
@@ -10,22 +10,26 @@
 
 
 class Backoff:
-    """Pauses that double up to a bound, with full jitter."""
+    """Pauses that double up to a bound, with full jitter.
+
+    :param initial: upper bound of the first pause, in seconds.
+    :param maximum: largest upper bound of a pause, in seconds.
+    """
 
     def __init__(
         self,
-        first: float = defaults.STORE_RETRY_FIRST,
-        most: float = defaults.STORE_RETRY_MOST,
+        initial: float = defaults.STORE_RETRY_FIRST,
+        maximum: float = defaults.STORE_RETRY_MOST,
     ) -> None:
-        self._first = first
-        self._most = most
-        self._next = first
+        self._initial = initial
+        self._maximum = maximum
+        self._next = initial
 
     async def pause(self) -> None:
-        """Sleep for up to the present pause, and double it."""
-        await trio.sleep(random.uniform(self._first / 2, self._next))
-        self._next = min(self._next * 2, self._most)
+        """Sleep for a random time up to the current bound, and double it."""
+        await trio.sleep(random.uniform(self._initial / 2, self._next))
+        self._next = min(self._next * 2, self._maximum)
 
     def reset(self) -> None:
-        """Begin again with the first pause."""
-        self._next = self._first
+        """Reset the bound to its initial value."""
+        self._next = self._initial
--- a/magnoliacove/directory/feed.py
+++ b/magnoliacove/directory/feed.py
@@ -1,8 +1,8 @@
-"""Handing the configuration and the directory on from peer to peer.
+"""Replication of the configuration and the directory between peers.
 
-A subscriber says what it has; it gets what it lacks, then every news as it
-comes.  News flows both ways, so an agent that starts while the store is
-down still becomes known through the peer it subscribes to.
+A subscriber reports its version; it receives what it lacks, then every
+update.  Updates flow in both directions, so an agent that starts while the
+store is down is still announced through the peer to which it subscribes.
 """
 
 from magnoliacove import configuration
@@ -23,86 +23,89 @@
 
 
 def make_subscribe(view: View, own: str) -> messages.Subscribe:
-    """Return what a subscriber says first."""
+    """Return the first message of a subscriber.
+
+    :param own: the name of this process.
+    """
     instance = view.find_instance(own)
-    known = (instances.write_entry(instance),) if instance else ()
-    return messages.Subscribe(view.version, known)
+    own_entries = (instances.write_entry(instance),) if instance else ()
+    return messages.Subscribe(view.version, own_entries)
 
 
 class Feed:
-    """Sends a process's news to its subscribers and takes theirs."""
+    """Sends updates of this process to subscribers and adopts theirs."""
 
     def __init__(self, view: View) -> None:
         self._view = view
         self._subscribers: dict[wire.Connection, int] = {}
         self._sent: dict[wire.Connection, dict[tuple[str, str], object]] = {}
-        view.listen(self._push)
+        view.listen(self._send_to_all)
 
     @property
     def subscribers(self) -> int:
-        """How many connections receive news."""
+        """Number of connections that receive updates."""
         return len(self._subscribers)
 
     def handle(
         self, connection: wire.Connection, message: messages.Message
     ) -> bool:
-        """Take a message of the feed; return whether it was one."""
+        """Handle a message of the feed; return whether it is one."""
         if not isinstance(message, _FEED_MESSAGES):
             return False
         if isinstance(message, messages.Subscribe):
             self._subscribers[connection] = message.configuration_version
             self._sent[connection] = {}
-            self._take_entries(connection, message.instances)
-            self._send_news(connection)
+            self._adopt_entries(connection, message.instances)
+            self._send_updates(connection)
         elif isinstance(message, messages.Snapshot):
             document = configuration.Document.from_bytes(message.data)
             self._view.adopt_document(document, connection.name)
         elif isinstance(message, messages.Changes):
-            self._take_changes(connection, message)
+            self._adopt_changes(connection, message)
         elif isinstance(message, messages.Instances):
-            self._take_entries(connection, message.items)
+            self._adopt_entries(connection, message.items)
         return True
 
     def attach(self, connection: wire.Connection) -> None:
-        """Send news up a connection that this process dialled."""
+        """Send updates over a connection that this process opened."""
         remote = connection.remote
         self._subscribers[connection] = (
             remote.configuration_version if remote else 0
         )
         self._sent[connection] = {}
-        self._send_news(connection)
+        self._send_updates(connection)
 
     def drop(self, connection: wire.Connection) -> None:
-        """Forget a connection that ended."""
+        """Discard the state of a closed connection."""
         self._subscribers.pop(connection, None)
         self._sent.pop(connection, None)
 
-    def _take_changes(
+    def _adopt_changes(
         self, connection: wire.Connection, message: messages.Changes
     ) -> None:
         for data in message.items:
             change = configuration.Change.from_bytes(data)
             if not self._view.adopt_change(change, connection.name):
-                # Changes before this one never arrived.  Asking anew with
-                # our version brings all of them or the whole document.
+                # Earlier changes did not arrive.  Subscribing again with our
+                # version returns all of them or the whole document.
                 connection.post(messages.Subscribe(self._view.version))
                 return
 
-    def _take_entries(
+    def _adopt_entries(
         self, connection: wire.Connection, items: tuple[bytes, ...]
     ) -> None:
         entries = [instances.read_entry(item) for item in items]
         sent = self._sent.get(connection)
         if sent is not None:
-            # What a peer told us is not told back to it.
+            # Entries that a peer sent are not sent back to it.
             sent.update({(e.kind, e.name): e.rank for e in entries})
         self._view.adopt_entries(entries)
 
-    def _push(self) -> None:
+    def _send_to_all(self) -> None:
         for connection in tuple(self._subscribers):
-            self._send_news(connection)
+            self._send_updates(connection)
 
-    def _send_news(self, connection: wire.Connection) -> None:
+    def _send_updates(self, connection: wire.Connection) -> None:
         try:
             self._send_configuration(connection)
             self._send_entries(connection)
@@ -124,11 +127,11 @@
 
     def _send_entries(self, connection: wire.Connection) -> None:
         sent = self._sent[connection]
-        news = []
+        updates = []
         for entry in self._view.list_entries():
             key = (entry.kind, entry.name)
             if sent.get(key) != entry.rank:
                 sent[key] = entry.rank
-                news.append(instances.write_entry(entry))
-        if news:
-            connection.post(messages.Instances(tuple(news)))
+                updates.append(instances.write_entry(entry))
+        if updates:
+            connection.post(messages.Instances(tuple(updates)))
--- a/magnoliacove/directory/health.py
+++ b/magnoliacove/directory/health.py
@@ -1,8 +1,8 @@
-"""Which targets are suspected of being lost or faulty.
+"""Suspicions that targets are unreachable or faulty.
 
-A suspicion keeps new work away for a while and ends by itself.  One that
-comes back lasts twice as long, so a target that fails again and again is
-left alone more and more, and one suspected wrongly is soon in use again.
+A suspicion blocks new work for a limited time and expires by itself.  Each
+repeated suspicion lasts twice as long, so a target that fails repeatedly
+gets less and less work, and one suspected wrongly is soon in use again.
 """
 
 from collections.abc import Callable
@@ -14,22 +14,24 @@
 
 __all__ = ["Health", "Suspicion"]
 
-# The first suspicion of a target, and the longest, in seconds.  The first
-# outlasts the three heartbeats after which a dead engine's entry is gone.
-_FIRST = 2.0
-_MOST = 16.0
-# An engine that says that it leaves is gone within so many seconds, or its
-# entry has said so by then.
-_LEAVING = 10.0
-# After so many seconds without suspicion it starts again with the first.
-_FORGIVEN = 20.0
+# Seconds that the first and the longest suspicion of a target last.  The
+# first one outlasts the three heartbeats after which the entry of a dead
+# engine is removed.
+_INITIAL_DURATION = 2.0
+_MAX_DURATION = 16.0
+# Seconds of suspicion for an engine that announces that it leaves.  Within
+# this time it ends, or its entry is marked as draining.
+_LEAVING_DURATION = 10.0
+# Seconds without suspicion after which the next one has the first duration.
+_RESET_AFTER = 20.0
 
 
 @dataclass(frozen=True)
 class Suspicion:
-    """Why a target gets no new work, and since and until when.
+    """Why a target gets no new work, and for which period.
 
-    :param leaving: it works on what it has, but takes nothing new.
+    :param leaving: whether it finishes its requests but accepts no new
+        ones.
     """
 
     target: str
@@ -40,7 +42,7 @@
 
 
 class Health:
-    """The suspicions of one process, own and others'."""
+    """The suspicions of this process and those reported by others."""
 
     def __init__(
         self,
@@ -50,7 +52,7 @@
         self._recorder = recorder
         self._read_time = read_time
         self._suspicions: dict[str, Suspicion] = {}
-        self._lengths: dict[str, tuple[float, float]] = {}
+        self._durations: dict[str, tuple[float, float]] = {}
         self._listeners: list[Callable[[Suspicion], None]] = []
 
     def listen(self, listener: Callable[[Suspicion], None]) -> None:
@@ -62,14 +64,14 @@
         return self.find(target) is None
 
     def find(self, target: str) -> Suspicion | None:
-        """Return what a target is suspected of now, or None."""
-        found = self._suspicions.get(target)
-        if found is None or found.until <= self._read_time():
+        """Return the present suspicion of a target, or None."""
+        suspicion = self._suspicions.get(target)
+        if suspicion is None or suspicion.until <= self._read_time():
             return None
-        return found
+        return suspicion
 
     def list_suspicions(self) -> list[Suspicion]:
-        """Return what is suspected now."""
+        """Return the present suspicions."""
         now = self._read_time()
         return [s for s in self._suspicions.values() if s.until > now]
 
@@ -84,25 +86,30 @@
     ) -> None:
         """Suspect a target, unless it is suspected already.
 
+        A target that leaves replaces a suspicion for another reason.
+
         :param age: seconds since another process began to suspect it.
-        :param source: the process that says so, or "" for this one.
-        :param leaving: it says itself that it leaves.
+        :param source: the process that reports the suspicion, or "" for
+            this one.
+        :param leaving: whether the target itself announces that it leaves.
         """
-        known = self.find(target)
-        if known is not None and (known.leaving or not leaving):
+        present = self.find(target)
+        if present is not None and (present.leaving or not leaving):
             return
         now = self._read_time()
-        length, until = self._lengths.get(target, (_FIRST / 2, now))
-        if now - until > _FORGIVEN:
-            length = _FIRST / 2
-        length = min(length * 2, _MOST)
+        duration, until = self._durations.get(
+            target, (_INITIAL_DURATION / 2, now)
+        )
+        if now - until > _RESET_AFTER:
+            duration = _INITIAL_DURATION / 2
+        duration = min(duration * 2, _MAX_DURATION)
         if leaving:
-            length = _LEAVING
+            duration = _LEAVING_DURATION
         since = now - age
-        if since + length <= now:
+        if since + duration <= now:
             return
-        suspicion = Suspicion(target, since, since + length, why, leaving)
-        self._lengths[target] = (length, suspicion.until)
+        suspicion = Suspicion(target, since, since + duration, why, leaving)
+        self._durations[target] = (duration, suspicion.until)
         self._suspicions[target] = suspicion
         self._recorder.record(
             "target-suspected",
@@ -110,13 +117,16 @@
             why=why,
             source=source,
             leaving=leaving,
-            seconds=round(length, 1),
+            seconds=round(duration, 1),
         )
         for listener in self._listeners:
             listener(suspicion)
 
     def forget(self, known: set[str]) -> None:
-        """Drop what is known of targets that no longer exist."""
-        for target in set(self._lengths) - known:
-            self._lengths.pop(target)
+        """Discard the suspicions of targets that no longer exist.
+
+        :param known: the names of the targets that exist.
+        """
+        for target in set(self._durations) - known:
+            self._durations.pop(target)
             self._suspicions.pop(target, None)
--- a/magnoliacove/directory/instances.py
+++ b/magnoliacove/directory/instances.py
@@ -1,4 +1,4 @@
-"""Which instances there are, where they listen and which are leaving."""
+"""Directory entries: instances, their addresses and their states."""
 
 from dataclasses import dataclass
 import json
@@ -22,12 +22,12 @@
 
 @dataclass(frozen=True)
 class Instance:
-    """One process of ours, as it announced itself.
+    """An instance as it announced itself.
 
     :param role: ``entry`` or ``agent``.
     :param incarnation: milliseconds since the epoch at its start; a
-        process that starts again has a higher one.
-    :param revision: grows with each announcement of one incarnation.
+        restarted process has a higher one.
+    :param revision: increases with each announcement of one incarnation.
     :param state: ``live``, ``leaving`` or ``gone``.
     """
 
@@ -42,7 +42,7 @@
 
     @property
     def rank(self) -> tuple[int, int]:
-        """What decides between two announcements: the higher is newer."""
+        """Order of announcements: the higher one is newer."""
         return self.incarnation, self.revision
 
     @property
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True)
 class PlatformState:
-    """What the platform's own list says of an instance.
+    """The state of an instance in the platform's own list.
 
     :param state: ``live`` or ``leaving``.
     :param version: the version of the platform's object.
@@ -71,7 +71,7 @@
 
     @property
     def rank(self) -> tuple[int, int]:
-        """What decides between two states: the higher is newer."""
+        """Order of states: the higher one is newer."""
         return self.version, 0
 
 
@@ -80,19 +80,19 @@
 
 
 def write_entry(entry: Entry) -> bytes:
-    """Return an entry of the directory as JSON."""
+    """Return a directory entry as JSON."""
     return json.dumps({"kind": entry.kind, **entry.__dict__}).encode()
 
 
 def read_entry(data: bytes) -> Entry:
-    """Return the entry of the directory that JSON describes.
+    """Return the directory entry that JSON describes.
 
-    :raises magnoliacove.errors.ProtocolError: when it describes none.
+    :raises magnoliacove.errors.ProtocolError: if the JSON is no valid entry.
     """
     try:
         values = json.loads(data)
         return _KINDS[values.pop("kind")](**values)
-    except (ValueError, KeyError, TypeError, AttributeError) as why:
+    except (ValueError, KeyError, TypeError, AttributeError) as exc:
         raise errors.ProtocolError(
-            f"an entry of the directory cannot be read: {why}"
-        ) from why
+            f"an entry of the directory cannot be read: {exc}"
+        ) from exc
--- a/magnoliacove/directory/leases.py
+++ b/magnoliacove/directory/leases.py
@@ -1,15 +1,15 @@
-"""Leases in the platform's object API, with fencing numbers.
-
-A lease is one object that holds its holder, a fencing number, which grows
-each time the lease is taken, and a count of renewals.  No two clocks are
-compared: the holder counts from before it asked, an observer from when it
-first saw the present version.
-
-The store may come back from an older copy.  What lies there then is a lease
-of an earlier time: whoever it names may have lost it since, and whoever held
-it may be missing.  So the era of the store is the upper part of a fencing
-number: numbers never go back, and a record whose number is of a former era is
-known for one from a copy.
+"""Leases in the platform's object API, with fencing tokens.
+
+A lease is one object that contains its holder, a fencing token, which
+increases each time the lease is acquired, and a count of renewals.  Clocks of
+different processes are never compared: the holder measures from before it
+sends its request, an observer from when it first saw the present version.
+
+The store may be restored from an older snapshot.  The lease that it then
+contains is outdated: the holder that it names may have lost the lease since,
+and the last holder may be missing.  Therefore the era of the store is the
+upper part of a fencing token.  Tokens never decrease, and a token of a former
+era shows that the record comes from a snapshot.
 """
 
 from dataclasses import dataclass
@@ -25,25 +25,28 @@
 
 __all__ = ["Lease", "read_lease"]
 
-# The holder stops this long before others may take over, so that a timer
-# which fires a little late does not make two holders.
-_MARGIN = 0.5
-# How many times a lease can be taken in one era of the store.
-_FENCES = 1 << 32
+# Seconds before the expiry of the lease at which the holder stops using it, so
+# that a timer that fires late does not lead to two holders.
+_SAFETY_MARGIN = 0.5
+# Maximum number of acquisitions of a lease in one era of the store.
+_FENCES_PER_ERA = 1 << 32
 
 
 @dataclass(frozen=True)
 class _Observed:
+    """The last seen version of a lease, and when it was first seen."""
+
     version: int
     holder: str
     since: float
 
 
 class Lease:
-    """One process's dealings with one lease.
+    """A lease as one process acquires, renews and releases it.
 
     :param name: the lease, for example ``distributor-gent-a``.
     :param owner: this process's name and incarnation, ``NAME/INCARNATION``.
+    :param duration: seconds after which a lease expires without renewal.
     """
 
     def __init__(
@@ -70,8 +73,8 @@
     def held(self) -> bool:
         """Whether this process holds the lease now.
 
-        A process that was paused finds the answer False as soon as it
-        asks, since the monotonic clock went on without it.
+        The value is False after a pause of the process that is longer than
+        the lease, since the monotonic clock advances during the pause.
         """
         return self.fence > 0 and trio.current_time() < self._valid_until
 
@@ -80,49 +83,50 @@
         """The holder as last observed, or ""."""
         return self._observed.holder if self._observed else ""
 
-    async def try_take(self) -> bool:
-        """Take or renew the lease if that is possible now.
+    async def try_acquire(self) -> bool:
+        """Acquire or renew the lease if possible; return whether it is held.
 
-        :raises magnoliacove.errors.PlatformError: when the platform does
-            not answer.
+        :raises magnoliacove.errors.PlatformError: if the platform does not
+            answer.
         """
         if self.held and self._version and self._is_current():
             return await self._write(self._version, self.fence)
         if not self.held:
-            self._drop("it lapsed")
+            self._note_lost("the lease expired")
         record = await self._api.get(f"leases/{self.name}")
         now = trio.current_time()
         version = record.version if record else 0
         holder, fence = read_lease(record)
-        # A lease that is missing in two eras is not the same observation.
+        # The version of a missing lease includes the era, so that its absence
+        # in two eras counts as two observations.
         seen = version or self._api.era.join(0)
-        least = split_revision(seen)[0] * _FENCES
-        copied = fence < least
-        next_fence = max(fence, least) + 1
-        if self.held and copied:
-            # The store lost our renewals.  The others wait for a whole lease
-            # from when they first see this record, so none of them can hold
-            # it before ours lapses.
+        era_minimum = split_revision(seen)[0] * _FENCES_PER_ERA
+        from_snapshot = fence < era_minimum
+        next_fence = max(fence, era_minimum) + 1
+        if self.held and from_snapshot:
+            # The store lost our renewals.  Other processes wait for a full
+            # lease duration after they first see this record, so none of
+            # them can acquire the lease before ours expires.
             return await self._write(version, next_fence)
         if self.fence and (holder, fence) == (self._owner, self.fence):
-            # The answer to a renewal was lost although it took effect.
-            # Nobody else wrote since, so the lease is still ours.
+            # The answer to a renewal was lost although it took effect.  No
+            # other process has written since, so we still hold the lease.
             return await self._write(version, fence)
-        self._drop("another process took it")
+        self._note_lost("another process acquired the lease")
         if self._observed is None or self._observed.version != seen:
             self._observed = _Observed(seen, holder, now)
-        # Only one process of an instance runs at a time.  A holder that was
-        # killed and started again need not wait for its own lease to lapse.
-        # A record from a copy says nothing of that: another process may have
-        # taken the lease in the time that the store lost, and hold it still.
-        own = _instance(holder) == _instance(self._owner)
-        free = not copied and (not holder or own)
-        if not free and now - self._observed.since < self._duration:
+        # Only one process of an instance runs at a time, so a holder that was
+        # killed and restarted need not wait until its own lease expires.  This
+        # does not apply to a record from a snapshot: another process may have
+        # acquired the lease after the snapshot and may still hold it.
+        own = _instance_name(holder) == _instance_name(self._owner)
+        available = not from_snapshot and (not holder or own)
+        if not available and now - self._observed.since < self._duration:
             return False
         return await self._write(version, next_fence)
 
     async def release(self) -> None:
-        """Give the lease up, so that another can take it at once."""
+        """Release the lease, so that others can acquire it immediately."""
         if not self.held:
             return
         value = _write_lease("", self.fence, 0)
@@ -130,52 +134,52 @@
         try:
             await self._api.put(f"leases/{self.name}", value, self._version)
         except (errors.PlatformError, platform.VersionConflictError):
-            # It lapses by itself.
+            # The lease expires by itself.
             return
 
     def _is_current(self) -> bool:
-        """Return whether the last renewal is of the store's present era."""
+        """Return whether the last renewal belongs to the current era."""
         return self._api.era.is_current(self._version)
 
     async def _write(self, version: int, fence: int) -> bool:
-        asked = trio.current_time()
-        # The store takes a write that changes nothing for no write at all,
-        # so without the count an observer would see no renewal.
+        requested_at = trio.current_time()
+        # The store ignores a write that changes nothing.  Without the count,
+        # observers would see no renewal.
         self._renewals += 1
         value = _write_lease(self._owner, fence, self._renewals)
-        known, self._version = self._version, 0
+        previous_version, self._version = self._version, 0
         try:
             written = await self._api.put(
                 f"leases/{self.name}", value, version
             )
         except platform.VersionConflictError:
-            if known and self.held:
-                # It may be our own write whose answer was lost; the next
-                # try reads the object and tells.
+            if previous_version and self.held:
+                # The conflict may be with our own write whose answer was
+                # lost; the next attempt reads the object to find out.
                 return True
-            self._drop("another process took it")
+            self._note_lost("another process acquired the lease")
             return False
         self._version = written
-        self._valid_until = asked + self._duration - _MARGIN
-        self._observed = _Observed(written, self._owner, asked)
+        self._valid_until = requested_at + self._duration - _SAFETY_MARGIN
+        self._observed = _Observed(written, self._owner, requested_at)
         if self.fence != fence:
             self.fence = fence
             self._recorder.record("lease-taken", target=self.name, fence=fence)
         return True
 
-    def _drop(self, why: str) -> None:
+    def _note_lost(self, why: str) -> None:
         if self.fence:
             self._recorder.record("lease-lost", target=self.name, why=why)
         self.fence = 0
 
 
-def _instance(owner: str) -> str:
-    """Return the instance's name of an owner, ``NAME/INCARNATION``."""
+def _instance_name(owner: str) -> str:
+    """Return the instance of an owner, ``NAME/INCARNATION``."""
     return owner.partition("/")[0]
 
 
 def read_lease(record: platform.Record | None) -> tuple[str, int]:
-    """Return the holder and the fencing number of a lease's object."""
+    """Return the holder and the fencing token of a lease's object."""
     if record is None:
         return "", 0
     values = json.loads(record.value)
--- a/magnoliacove/directory/listed.py
+++ b/magnoliacove/directory/listed.py
@@ -1,4 +1,4 @@
-"""One target as it announced itself, and the names of its incarnations."""
+"""A target as it announced itself, and the names of its incarnations."""
 
 from dataclasses import dataclass
 
@@ -17,13 +17,13 @@
 def name_incarnation(entry: str, incarnation: int) -> str:
     """Return the name of one incarnation of a target.
 
-    :param incarnation: 0 for a target that does not tell it.
+    :param incarnation: 0 for a target that does not announce one.
     """
     return f"{entry}{_SEPARATOR}{incarnation}" if incarnation else entry
 
 
 def split_incarnation(name: str) -> tuple[str, int]:
-    """Return the entry's name and the incarnation, 0 for none."""
+    """Return the name of the entry and the incarnation, 0 for none."""
     entry, _, number = name.rpartition(_SEPARATOR)
     if not entry or not number.isdecimal():
         return name, 0
@@ -42,17 +42,17 @@
 
     @property
     def count(self) -> int:
-        """How many layers the range has."""
+        """The number of layers in the range."""
         return self.end - self.first
 
     def intersect(self, other: "LayerRange") -> "LayerRange | None":
-        """Return the layers that both ranges have, or None."""
+        """Return the intersection of both ranges, or None if it is empty."""
         first = max(self.first, other.first)
         end = min(self.end, other.end)
         return LayerRange(first, end) if first < end else None
 
     def covers(self, first: int, end: int) -> bool:
-        """Return whether another range lies within this one."""
+        """Return whether the range contains all layers of another range."""
         return self.first <= first and end <= self.end
 
 
@@ -60,14 +60,14 @@
 class ListedTarget:
     """A target as it announced itself.
 
-    :param name: differs from that of each other incarnation.
-    :param draining: it is leaving and is to get no new work.
-    :param slots: how many requests it runs at a time.
+    :param name: unique for each incarnation of the target.
+    :param draining: whether it is leaving and must not get new work.
+    :param slots: number of requests that it runs concurrently.
     :param accelerator: the kind of accelerator of a model engine, or "".
-    :param layers: what a model engine holds, or None.
+    :param layers: the layers that a model engine has loaded, or None.
     :param revision: the store's revision of the entry.
-    :param incarnation: milliseconds of its start since 1970, 0 when the
-        target does not tell.
+    :param incarnation: start time in milliseconds since the epoch, 0 when
+        the target does not announce one.
     """
 
     name: str
@@ -83,5 +83,5 @@
 
     @property
     def entry(self) -> str:
-        """The name of its entry, to which the target answers."""
+        """The name of its entry, by which the target is addressed."""
         return split_incarnation(self.name)[0]
--- a/magnoliacove/directory/store.py
+++ b/magnoliacove/directory/store.py
@@ -1,8 +1,8 @@
-"""Reading news from the platform's object API and announcing this process.
+"""Reading updates from the platform's object API; announcing this process.
 
-Every call that fails is tried again after a pause that grows and is
-jittered, so that a thousand processes do not meet a platform that has just
-come back all at once.
+Each failed call is retried after a growing, jittered pause, so that a
+thousand processes do not call the platform simultaneously when it has just
+recovered.
 """
 
 from collections.abc import Awaitable
@@ -28,7 +28,7 @@
 
 
 class StoreReader:
-    """Brings a view up to date with the store."""
+    """Updates a view from the store."""
 
     def __init__(
         self, api: platform.ObjectApi, view: View, recorder: Recorder
@@ -40,21 +40,22 @@
         self._journal = configuration.Journal(api)
 
     async def refresh(self, instances_prefix: str = instances.PREFIX) -> None:
-        """Read everything once.
+        """Read the configuration and the directory once.
 
-        :raises magnoliacove.errors.PlatformError: when the platform does
-            not answer.
+        :param instances_prefix: limits the instances that are read.
+        :raises magnoliacove.errors.PlatformError: if the platform does not
+            answer.
         """
-        known = self._view.document if self._view.version else None
-        document = await self._journal.load(known)
-        if self._view.first_stored is None:
-            self._view.first_stored = document.version
+        present = self._view.document if self._view.version else None
+        document = await self._journal.load(present)
+        if self._view.first_stored_version is None:
+            self._view.first_stored_version = document.version
         self._view.adopt_document(document, _SOURCE)
         listing = await self._api.list_records(instances_prefix)
         self._adopt_records(listing.records)
 
     async def follow(self) -> None:
-        """Read everything, then watch, until cancelled."""
+        """Read everything, then watch for changes until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._follow_state)
             nursery.start_soon(self._follow_platform)
@@ -73,19 +74,19 @@
             try:
                 await watch(backoff)
             except platform.CompactedError:
-                # The platform no longer holds what came after our
-                # revision; reading all of it again misses nothing.
+                # The platform no longer has the changes after our revision.
+                # Reading everything again misses none of them.
                 await backoff.pause()
-            except errors.PlatformError as why:
-                self.note_reachable(False, str(why))
+            except errors.PlatformError as exc:
+                self.note_reachable(False, str(exc))
                 await backoff.pause()
-            except errors.ProtocolError as why:
-                self._recorder.record("store-unreadable", why=str(why))
+            except errors.ProtocolError as exc:
+                self._recorder.record("store-unreadable", why=str(exc))
                 await backoff.pause()
 
     async def _watch_state(self, backoff: Backoff) -> None:
-        # The revision is taken before the objects are read: what is
-        # written in between is seen twice rather than never.
+        # The revision is read before the objects, so that objects written in
+        # between are seen twice rather than never.
         listing = await self._api.list_records(instances.PREFIX)
         revision = listing.revision
         await self.refresh()
@@ -141,7 +142,7 @@
         self._view.adopt_entries(states)
 
     def note_reachable(self, reachable: bool, why: str = "") -> None:
-        """Record it when the store goes away or comes back."""
+        """Record whether the store is reachable; log each change."""
         if reachable != self.reachable:
             kind = "store-back" if reachable else "store-lost"
             self._recorder.record(kind, why=why)
@@ -151,7 +152,7 @@
 async def announce(
     api: platform.ObjectApi, view: View, instance: instances.Instance
 ) -> None:
-    """Put this process's announcement into the view and the store."""
+    """Write this process's announcement to the view and the store."""
     view.adopt_entries([instance])
     backoff = Backoff()
     while True:
--- a/magnoliacove/directory/targets.py
+++ b/magnoliacove/directory/targets.py
@@ -1,12 +1,12 @@
-"""The targets that the platform lists, as this process knows them.
+"""The targets that the platform lists.
 
-An entry may vanish although its target lives: entries lapse while the
-platform's store is away and are back shortly after it returns.  Such a
-target is kept for a grace time before it is taken for gone.
+An entry may disappear although its target is alive: entries lapse while the
+platform's store is unreachable and reappear shortly after its return.  Such a
+target is kept for a grace period before it is removed.
 
-A target that starts again under its entry's name holds and knows nothing of
-before.  Each incarnation is a target with a name of its own here, so nothing
-that was believed of a former one counts for the present one.
+A target that restarts under the name of its entry has lost all its state.
+Each incarnation is a separate target with its own name here, so no state
+recorded for a former incarnation applies to the present one.
 """
 
 from collections.abc import Callable
@@ -16,30 +16,30 @@
 
 import trio
 
-from magnoliacove.directory.doubts import EntryDoubts
 from magnoliacove.directory.listed import ListedTarget
 from magnoliacove.directory.listed import name_incarnation
 from magnoliacove.directory.listed import split_incarnation
+from magnoliacove.directory.stale_entries import StaleEntryFilter
 from magnoliacove.timeline import Recorder
 
 __all__ = ["TargetList"]
 
-# Former incarnations are remembered for so long, in seconds: what they were
-# asked to do is over by then, and late news of them has come.
-_FORMER_KEPT = 30.0
-# Targets on a line of the log: a line of 4 KB is written as a whole, and one
-# target takes 60 to 80 bytes.
-_MOST_ON_A_LINE = 40
+# Seconds for which former incarnations are remembered.  By then their orders
+# and requests are over and delayed updates about them have arrived.
+_FORMER_RETENTION = 30.0
+# Maximum number of targets in a log line.  Lines of up to 4 KB are written
+# atomically, and one target takes 60 to 80 bytes.
+_MAX_TARGETS_PER_EVENT = 40
 
 
 class TargetList:
-    """The newest list of targets.
+    """The latest list of targets.
 
-    :param grace: seconds that an entry which vanished during an outage of
-        the store is kept.
-    :param known: set once there is a list, or a first entry.
+    :param grace: seconds for which a target is kept whose entry disappeared
+        during an outage of the store.
+    :param populated: set after the first listing or entry.
     :param newest_change: the store's revision of the newest change of an
-        entry that is known.
+        entry that this process has received.
     """
 
     def __init__(
@@ -51,20 +51,20 @@
     ) -> None:
         self.revision = 0
         self.newest_change = 0
-        self.known = trio.Event()
+        self.populated = trio.Event()
         self.changed_at = read_time()
         self._recorder = recorder
         self._grace = grace
         self._read_time = read_time
         self._targets: dict[str, ListedTarget] = {}
-        # The name of the present incarnation of each entry.
-        self._names: dict[str, str] = {}
-        # When each former incarnation was followed by a newer one.
+        # Name of the present incarnation by entry.
+        self._current_names: dict[str, str] = {}
+        # Time at which each former incarnation was replaced.
         self._former: dict[str, float] = {}
         self._missing_since: dict[str, float] = {}
-        self._doubts = EntryDoubts(read_time)
-        # Listed since the last line that told so.
-        self._untold: list[ListedTarget] = []
+        self._stale_filter = StaleEntryFilter(read_time)
+        # Targets listed since the last log line.
+        self._unlogged: list[ListedTarget] = []
         self._listeners: list[Callable[[], None]] = []
 
     def listen(self, listener: Callable[[], None]) -> None:
@@ -72,7 +72,7 @@
         self._listeners.append(listener)
 
     def find(self, name: str) -> ListedTarget | None:
-        """Return a target, or None when it is gone."""
+        """Return a target, or None if there is none."""
         return self._targets.get(name)
 
     def list_at(self, address: str) -> list[ListedTarget]:
@@ -81,8 +81,8 @@
 
     def list_service(self, service: str) -> list[ListedTarget]:
         """Return a service's targets that are not leaving."""
-        # Not only now and then: a target that left counts from the moment at
-        # which its entry was removed.
+        # Expire here too, so that the grace period of a target that left ends
+        # on time and not at the next periodic check.
         self.expire()
         return [
             target
@@ -94,14 +94,14 @@
         """Return every target, leaving ones included."""
         return list(self._targets.values())
 
-    def list_former(self) -> list[str]:
-        """Return the incarnations that were followed by newer ones lately."""
+    def list_former_incarnations(self) -> list[str]:
+        """Return the incarnations that were recently replaced by others."""
         return list(self._former)
 
     def read_restart_age(self, entry: str) -> float:
-        """Return seconds since a target was found to have restarted.
+        """Return seconds since the last detected restart of a target.
 
-        :returns: infinity when it was not, as far as is known.
+        :returns: infinity if no restart was detected recently.
         """
         restarted = [
             at
@@ -119,59 +119,62 @@
         *,
         after_outage: bool,
     ) -> None:
-        """Take a whole listing.
+        """Replace the list with a complete listing.
 
-        :param after_outage: the store was away before it, so an entry may
-            be missing although its target lives.
+        An older listing is ignored.
+
+        :param after_outage: whether the store was unreachable before, so
+            that an entry may be missing although its target is alive.
         """
-        self.known.set()
+        self.populated.set()
         if revision < self.revision:
             return
         listed = {target.entry: target for target in targets}
         self.revision = revision
-        self._doubts.keep(listed)
-        for entry in set(self._names) - set(listed):
+        self._stale_filter.retain(listed)
+        for entry in set(self._current_names) - set(listed):
             if after_outage:
-                self._miss(self._names[entry])
+                self._mark_missing(self._current_names[entry])
             else:
-                self._remove(self._names[entry], "not listed any more")
+                self._remove(self._current_names[entry], "not listed any more")
         for target in listed.values():
             self._put(target)
         self.expire()
 
     def note_restored(self) -> None:
-        """Take it that the store came back from a copy.
+        """Record that the store was restored from an older snapshot.
 
-        Its entries may be older than what is known for a while.
+        Its entries may be outdated for a few seconds.
         """
-        self._doubts.note_restored()
+        self._stale_filter.note_restored()
 
     def apply(self, target: ListedTarget) -> None:
-        """Take one target's newer entry."""
+        """Apply a new version of the entry of a target."""
         self.revision = max(self.revision, target.revision)
         self._put(target)
 
-    def observe(
+    def note_incarnation(
         self, entry: str, incarnation: int, *, directly: bool = False
     ) -> bool:
-        """Take it that a target is in another incarnation than was known.
+        """Record the reported incarnation of a target.
 
-        Its entry may tell that a second later; until then requests and
-        orders would go to one that has lost all that it held.
+        The entry may be updated up to a second later.  Until then requests
+        and orders would go to an incarnation that no longer exists, and the
+        new one has lost all its state.
 
-        :param incarnation: 0 when it was not told.
-        :param directly: the target itself said so just now.  What others
-            say may be older than what is known.
-        :returns: whether that was news.
+        :param incarnation: 0 if it was not reported.
+        :param directly: whether the target itself has just reported it.
+            Reports of other processes may be outdated.
+        :returns: whether the recorded incarnation changed.
         """
-        present = self._targets.get(self._names.get(entry, ""))
+        present = self._targets.get(self._current_names.get(entry, ""))
         if present is None or 0 in (incarnation, present.incarnation):
             return False
         name = name_incarnation(entry, incarnation)
         newer = incarnation > present.incarnation and name not in self._former
         if name == present.name or not (newer or directly):
             return False
-        self._begin(
+        self._replace_incarnation(
             present,
             replace(
                 present,
@@ -186,35 +189,39 @@
     def remove(
         self, entry: str, revision: int, *, may_return: bool = False
     ) -> None:
-        """Take the removal of one entry.
+        """Apply the removal of an entry.
 
-        :param may_return: it may have lapsed in an outage of the store;
-            its target is kept for the grace time.
+        :param may_return: whether the entry may have lapsed in an outage of
+            the store; its target is then kept for the grace period.
         """
         self.revision = max(self.revision, revision)
         self.newest_change = max(self.newest_change, revision)
-        name = self._names.get(entry, entry)
-        self._doubts.drop(entry)
+        name = self._current_names.get(entry, entry)
+        self._stale_filter.discard(entry)
         if may_return:
-            self._miss(name)
+            self._mark_missing(name)
             return
         self._remove(name, "its entry was removed")
 
     def expire(self) -> None:
-        """Drop what has been missing for longer than the grace time."""
-        self._tell_listed()
+        """Remove targets that are missing for longer than the grace period.
+
+        Also log new targets, discard old incarnations and apply deferred
+        entries.
+        """
+        self._log_listed()
         now = self._read_time()
         for name, since in list(self._missing_since.items()):
             if now - since >= self._grace:
                 self._remove(name, "its entry did not come back")
         for name, since in list(self._former.items()):
-            if now - since >= _FORMER_KEPT:
+            if now - since >= _FORMER_RETENTION:
                 del self._former[name]
-        for target in self._doubts.take_believed():
+        for target in self._stale_filter.take_credible():
             self._put(target)
 
-    def _miss(self, name: str) -> None:
-        """Keep a target for the grace time, though its entry is gone."""
+    def _mark_missing(self, name: str) -> None:
+        """Keep a target without an entry for the grace period."""
         if name in self._missing_since or name not in self._targets:
             return
         self._missing_since[name] = self._read_time()
@@ -225,55 +232,57 @@
         )
 
     def _put(self, target: ListedTarget) -> None:
-        self.known.set()
+        self.populated.set()
         self.newest_change = max(self.newest_change, target.revision)
-        known = self._targets.get(self._names.get(target.entry, ""))
-        if known is not None:
-            self._missing_since.pop(known.name, None)
-        if known == target or self._doubts.holds_back(target, known):
+        current = self._targets.get(self._current_names.get(target.entry, ""))
+        if current is not None:
+            self._missing_since.pop(current.name, None)
+        if current == target or self._stale_filter.defer(target, current):
             return
-        if known is not None and known.revision > target.revision:
+        if current is not None and current.revision > target.revision:
             return
-        if known is not None and known.name != target.name:
-            # News of a former incarnation may be late: its entry was read
-            # before the target itself told that it had started again.
-            newer = target.incarnation > known.incarnation
+        if current is not None and current.name != target.name:
+            # The entry may belong to a former incarnation: it may have been
+            # read before the target itself reported its restart.
+            newer = target.incarnation > current.incarnation
             if newer and target.name not in self._former:
-                self._begin(known, target)
+                self._replace_incarnation(current, target)
             return
         self._targets[target.name] = target
-        self._names[target.entry] = target.name
-        self._doubts.note_listed(target.name)
-        if known is None:
-            self._untold.append(target)
-        elif target.draining and not known.draining:
+        self._current_names[target.entry] = target.name
+        self._stale_filter.note_listed(target.name)
+        if current is None:
+            self._unlogged.append(target)
+        elif target.draining and not current.draining:
             self._recorder.record("target-draining", target=target.name)
-        self._tell()
+        self._notify()
 
-    def _begin(self, known: ListedTarget, target: ListedTarget) -> None:
-        """Put a newer incarnation in the place of a former one."""
-        self._missing_since.pop(known.name, None)
-        del self._targets[known.name]
-        self._former[known.name] = self._read_time()
+    def _replace_incarnation(
+        self, current: ListedTarget, target: ListedTarget
+    ) -> None:
+        """Replace an incarnation of a target with another one."""
+        self._missing_since.pop(current.name, None)
+        del self._targets[current.name]
+        self._former[current.name] = self._read_time()
         self._former.pop(target.name, None)
         self._targets[target.name] = target
-        self._names[target.entry] = target.name
+        self._current_names[target.entry] = target.name
         self._recorder.record(
             "target-restarted",
             target=target.name,
-            why=f"it follows {known.name}",
+            why=f"it follows {current.name}",
         )
-        self._untold.append(target)
-        self._tell()
+        self._unlogged.append(target)
+        self._notify()
 
-    def _tell_listed(self) -> None:
-        """Write down which targets are new, many on a line.
+    def _log_listed(self) -> None:
+        """Log the new targets, many in a line.
 
-        A process that starts hears of all of them.  With a line for each,
-        ordinary lines of the first requests would be dropped for them.
+        A process that starts receives all of them.  A line for each would
+        displace log lines of the first requests.
         """
-        untold, self._untold = self._untold, []
-        for at in range(0, len(untold), _MOST_ON_A_LINE):
+        unlogged, self._unlogged = self._unlogged, []
+        for at in range(0, len(unlogged), _MAX_TARGETS_PER_EVENT):
             self._recorder.record(
                 "targets-listed",
                 targets={
@@ -284,7 +293,7 @@
                             target.accelerator,
                         )
                     ).strip()
-                    for target in untold[at : at + _MOST_ON_A_LINE]
+                    for target in unlogged[at : at + _MAX_TARGETS_PER_EVENT]
                 },
             )
 
@@ -293,12 +302,12 @@
         target = self._targets.pop(name, None)
         if target is None:
             return
-        del self._names[target.entry]
-        self._doubts.note_gone(name)
+        del self._current_names[target.entry]
+        self._stale_filter.note_removed(name)
         self._recorder.record("target-gone", target=name, why=why)
-        self._tell()
+        self._notify()
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         self.changed_at = self._read_time()
         for listener in self._listeners:
             listener()
--- a/magnoliacove/directory/view.py
+++ b/magnoliacove/directory/view.py
@@ -1,8 +1,8 @@
-"""What one process knows: the configuration and the other instances.
+"""One process's view of the configuration and of the other instances.
 
-Everything in it only moves forward: a document by its version, an entry of
-the directory by its rank.  News may come twice, late, from the store or
-from any peer, in any order; the result is the same.
+The view never moves backwards: a newer document has a higher version, a newer
+directory entry a higher rank.  Updates may arrive twice, late, from the store
+or from any peer, and in any order; the result is the same.
 """
 
 from collections.abc import Callable
@@ -19,15 +19,15 @@
 
 
 class View:
-    """The newest configuration and directory that reached this process."""
+    """The latest configuration and directory that reached this process."""
 
     def __init__(self, recorder: Recorder) -> None:
         self.document = configuration.Document()
         self.forked = False
-        # The version that the store held when this process first read it;
-        # what is newer came into being under this process's eyes.
-        self.first_stored: int | None = None
-        self.changes_kept: list[configuration.Change] = []
+        # Version of the configuration in the store when this process first
+        # read it; newer versions were created while this process was running.
+        self.first_stored_version: int | None = None
+        self.recent_changes: list[configuration.Change] = []
         self._recorder = recorder
         self._entries: dict[tuple[str, str], instances.Entry] = {}
         self._changed = trio.Event()
@@ -37,36 +37,39 @@
 
     @property
     def version(self) -> int:
-        """The version of the configuration in force here."""
+        """The version of the active configuration."""
         return self.document.version
 
     def find_instance(self, name: str) -> instances.Instance | None:
         """Return an instance's announcement, or None."""
-        found = self._entries.get((instances.Instance.kind, name))
-        return found if isinstance(found, instances.Instance) else None
+        entry = self._entries.get((instances.Instance.kind, name))
+        return entry if isinstance(entry, instances.Instance) else None
 
     def list_instances(self, role: str = "") -> list[instances.Instance]:
-        """Return the announced instances that are not gone, by name."""
-        found = (
+        """Return the announced instances that are not gone, by name.
+
+        :param role: the only role to include, "" for all.
+        """
+        announced = (
             entry
             for _, entry in sorted(self._entries.items())
             if isinstance(entry, instances.Instance)
         )
         return [
             entry
-            for entry in found
+            for entry in announced
             if entry.state != "gone" and role in ("", entry.role)
         ]
 
     def list_entries(self) -> list[instances.Entry]:
-        """Return the whole directory."""
+        """Return all entries of the directory."""
         return list(self._entries.values())
 
     def is_leaving(self, name: str) -> bool:
-        """Return whether an instance, or its target, is to get no work.
+        """Return whether an instance, or its target, must not get new work.
 
-        The operator's word, the agent's own and the platform's list each
-        suffice: they reach us with different delays.
+        The operator's setting, the agent's announcement or the platform's
+        list alone is sufficient, since they arrive with different delays.
         """
         target = self.document.find(configuration.Target, name)
         if target is not None and target.state == "draining":
@@ -81,47 +84,50 @@
         )
 
     def changes_after(self, version: int) -> list[configuration.Change] | None:
-        """Return the changes since a version, or None when too many."""
-        wanted = [c for c in self.changes_kept if c.version > version]
+        """Return the changes since a version, or None if some are missing."""
+        wanted = [c for c in self.recent_changes if c.version > version]
         if len(wanted) != self.version - version:
             return None
         return wanted
 
     async def wait_changed(self) -> None:
-        """Wait for the next news of any kind."""
+        """Wait for the next update of any kind."""
         await self._changed.wait()
 
     async def wait_version(self, version: int, timeout: float) -> bool:
-        """Wait until a version is in force here; return whether it is."""
+        """Wait until a version is active; return whether it is.
+
+        :param timeout: seconds to wait at most.
+        """
         with trio.move_on_after(timeout):
             while self.version < version:
                 await self._changed.wait()
         return self.version >= version
 
     def listen(self, listener: Callable[[], None]) -> None:
-        """Call a function after each news."""
+        """Call a function after each update."""
         self._listeners.append(listener)
 
-    # News.
+    # Updates.
 
     def adopt_document(
         self, document: configuration.Document, source: str
     ) -> None:
-        """Take a document, unless the present one is as new."""
+        """Adopt a document, unless the active one is at least as new."""
         if document.version <= self.version:
-            # A peer or a restarted store that is behind must not undo an
-            # accepted change.
+            # A peer or a restarted store with an older version must not undo
+            # an accepted change.
             if (
                 document.version == self.version
                 and document.digest != self.document.digest
             ):
                 self._note_fork(source)
             return
-        self.changes_kept.clear()
-        self._put_in_force(document, source)
+        self.recent_changes.clear()
+        self._activate(document, source)
 
     def adopt_change(self, change: configuration.Change, source: str) -> bool:
-        """Take a change; return False when changes before it are missing."""
+        """Adopt a change; return False if earlier changes are missing."""
         if change.version <= self.version:
             return True
         if change.version > self.version + 1:
@@ -131,33 +137,31 @@
         except errors.ProtocolError:
             self._note_fork(source)
             return True
-        self.changes_kept.append(change)
-        del self.changes_kept[:-256]
-        self._put_in_force(document, source)
+        self.recent_changes.append(change)
+        del self.recent_changes[:-256]
+        self._activate(document, source)
         return True
 
     def adopt_entries(self, entries: Iterable[instances.Entry]) -> bool:
-        """Take entries of the directory; return whether any was news."""
-        news = False
+        """Adopt directory entries; return whether any of them is newer."""
+        updated = False
         for entry in entries:
             key = (entry.kind, entry.name)
-            known = self._entries.get(key)
-            if known is not None and known.rank >= entry.rank:
+            present = self._entries.get(key)
+            if present is not None and present.rank >= entry.rank:
                 continue
             self._entries[key] = entry
-            news = True
+            updated = True
             self._recorder.record(
                 f"{entry.kind}-{getattr(entry, 'state', '')}",
                 target=entry.name,
                 rank=entry.rank,
             )
-        if news:
-            self._tell()
-        return news
+        if updated:
+            self._notify()
+        return updated
 
-    def _put_in_force(
-        self, document: configuration.Document, source: str
-    ) -> None:
+    def _activate(self, document: configuration.Document, source: str) -> None:
         self.document = document
         self._recorder.version = document.version
         author = document.change_ids[-1][0] if document.change_ids else ""
@@ -168,7 +172,7 @@
             digest=document.digest,
             change=author,
         )
-        self._tell()
+        self._notify()
 
     def _note_fork(self, source: str) -> None:
         if not self.forked:
@@ -179,7 +183,7 @@
             )
         self.forked = True
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         self._changed.set()
         self._changed = trio.Event()
         for listener in self._listeners:
--- a/magnoliacove/entry/distribution.py
+++ b/magnoliacove/entry/distribution.py
@@ -58,7 +58,7 @@
     async def _try_take(self) -> bool:
         store = self._process.store
         try:
-            taken = await self.lease.try_take()
+            taken = await self.lease.try_acquire()
         except errors.PlatformError as why:
             store.note_reachable(False, str(why))
             return False
@@ -75,7 +75,7 @@
 
     async def _renew(self) -> bool:
         try:
-            return await self.lease.try_take()
+            return await self.lease.try_acquire()
         except errors.PlatformError:
             # Renewing may work again before the lease lapses.  After that
             # this entry is one among others; what it knows stays in force.
--- a/magnoliacove/gateway/calls.py
+++ b/magnoliacove/gateway/calls.py
@@ -138,7 +138,7 @@
     ) -> _Result:
         """Return the next result; ask a second target when it takes long."""
         if self._may_run_again(self._routed.route.max_attempts):
-            record = self._state.candidates.read_record(self._tried[-1])
+            record = self._state.candidates.read_statistics(self._tried[-1])
             objective = self._routed.route.latency_objective
             delay = max(
                 record.seconds * _HEDGE_TIMES, objective * _HEDGE_OBJECTIVE
@@ -190,9 +190,9 @@
             number=len(self._tried),
             running=self._state.loads.read(target.name).requests,
             failures=round(
-                self._state.candidates.read_record(target.name).read_failures(
-                    trio.current_time()
-                ),
+                self._state.candidates.read_statistics(
+                    target.name
+                ).read_failures(trio.current_time()),
                 2,
             ),
         )
@@ -228,7 +228,7 @@
         finally:
             state.loads.release(reservation)
         answer = result.answer
-        state.candidates.read_record(target.name).note(
+        state.candidates.read_statistics(target.name).note(
             trio.current_time(),
             failed=answer is None or answer.status >= 500,
             seconds=trio.current_time() - began,
--- a/magnoliacove/gateway/crashes.py
+++ b/magnoliacove/gateway/crashes.py
@@ -249,7 +249,7 @@
         leaving = suspicion is not None and suspicion.leaving
         if target.draining or leaving or (listed and listed.draining):
             return False
-        if target.name in known.list_former():
+        if target.name in known.list_former_incarnations():
             return True
         with trio.move_on_after(_ASK_TIMEOUT):
             try:
--- a/magnoliacove/gateway/detours.py
+++ b/magnoliacove/gateway/detours.py
@@ -22,8 +22,8 @@
 from magnoliacove.routing.paths import Path
 from magnoliacove.routing.paths import PathCosts
 from magnoliacove.routing.paths import StageOption
-from magnoliacove.routing.paths import find_detour
 from magnoliacove.routing.paths import find_path
+from magnoliacove.routing.paths import find_reroute
 
 __all__ = ["Detours", "PathUser"]
 
@@ -129,8 +129,8 @@
             stream.service, stream.shape, left, beyond_limits=True
         )
         costs = state.candidates.make_costs(stream.shape, prompt, answer)
-        ahead = state.candidates.draw_displaced(left)
-        detour = find_detour(path, left, options, costs, ahead)
+        ahead = state.candidates.sample_displaced(left)
+        detour = find_reroute(path, left, options, costs, ahead)
         if detour is None:
             return False
         if detour.crossings > path.crossings and _has_inner(options, costs):
--- a/magnoliacove/gateway/holds.py
+++ b/magnoliacove/gateway/holds.py
@@ -8,10 +8,10 @@
 from magnoliacove.gateway.requests import RoutedRequest
 from magnoliacove.gateway.state import GatewayState
 from magnoliacove.limits.load import Reservation
-from magnoliacove.routing.paths import NONE_AHEAD
-from magnoliacove.routing.paths import Ahead
+from magnoliacove.routing.paths import NO_REQUESTS_AHEAD
 from magnoliacove.routing.paths import Path
 from magnoliacove.routing.paths import PathCosts
+from magnoliacove.routing.paths import RequestsAhead
 from magnoliacove.routing.paths import StageOption
 from magnoliacove.routing.paths import describe_bottlenecks
 from magnoliacove.routing.paths import find_path
@@ -59,7 +59,7 @@
         """
         state = self._state
         costs = state.candidates.make_costs(self.shape, *self.read_tokens())
-        ahead = state.candidates.draw_ahead(self._routed.service.name)
+        ahead = state.candidates.sample_ahead(self._routed.service.name)
         for avoided, beyond_limits in self._list_tries():
             path = self._search(costs, avoided, ahead, beyond_limits)
             first = state.targets.find(path.targets[0]) if path else None
@@ -92,13 +92,15 @@
             and one of the first ones takes requests.
         """
         service = self._routed.service.name
-        wait = self._state.candidates.read_first_wait(
+        wait = self._state.candidates.read_first_engine_wait(
             service, self._state.room.waiting
         )
         if wait > 0.0:
             return wait
         gaps = self._state.find_gaps(service)
-        gaps.note(self._state.candidates.is_whole(service, self.shape))
+        gaps.note(
+            self._state.candidates.covers_all_layers(service, self.shape)
+        )
         return gaps.read_left()
 
     def has_other_path(self) -> bool:
@@ -108,7 +110,7 @@
         candidates = self._state.candidates
         costs = candidates.make_costs(self.shape, *self.read_tokens())
         # Requests ahead change which path is chosen, not whether there is one.
-        return self._search(costs, avoided, NONE_AHEAD) is not None
+        return self._search(costs, avoided, NO_REQUESTS_AHEAD) is not None
 
     def use(self) -> None:
         """Count the first engine as one that the request runs on."""
@@ -146,7 +148,7 @@
         self,
         costs: PathCosts,
         avoided: Collection[str],
-        ahead: Ahead,
+        ahead: RequestsAhead,
         beyond_limits: bool = False,
     ) -> Path | None:
         """Return the best path that has room and may be taken, or None."""
--- a/magnoliacove/gateway/peering.py
+++ b/magnoliacove/gateway/peering.py
@@ -6,7 +6,7 @@
 import trio
 
 from magnoliacove import wire
-from magnoliacove.directory.holdings import Holding
+from magnoliacove.directory.engine_status import EngineStatus
 from magnoliacove.directory.listed import split_incarnation
 from magnoliacove.gateway.crashes import CrashWatch
 from magnoliacove.gateway.limit_sharing import LimitSharing
@@ -157,7 +157,7 @@
             ),
         )
 
-    def _list_holdings(self) -> list[tuple[str, float, Holding]]:
+    def _list_holdings(self) -> list[tuple[str, float, EngineStatus]]:
         """Return what the duty's holder, or a refusal, told of engines.
 
         Others each time where there are more than fit: a heartbeat that is
@@ -194,7 +194,7 @@
             )
         for item in heartbeat.holdings:
             # Whoever asks the engines learns first that one started again.
-            state.targets.observe(*split_incarnation(item.target))
+            state.targets.note_incarnation(*split_incarnation(item.target))
             state.holdings.note(item.target, item.holding, item.age)
         self._take_crashes(heartbeat)
         self._sharing.take(heartbeat)
--- a/magnoliacove/gateway/presence.py
+++ b/magnoliacove/gateway/presence.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from magnoliacove.directory.holdings import Holding
+from magnoliacove.directory.engine_status import EngineStatus
 from magnoliacove.directory.listed import ListedTarget
 from magnoliacove.gateway.channels import TargetError
 from magnoliacove.gateway.engines import EngineCalls
@@ -123,10 +123,10 @@
     def _correct(self, target: ListedTarget, report: EngineReport) -> None:
         """Take an engine's own word for what it holds."""
         state = self._state
-        holding = Holding(
+        holding = EngineStatus(
             report.layers, report.loading, report.slowness, report.used
         )
-        restarted = state.targets.observe(
+        restarted = state.targets.note_incarnation(
             target.entry, report.incarnation, directly=True
         )
         if restarted or not state.holdings.correct(target.name, holding):
--- a/magnoliacove/gateway/process.py
+++ b/magnoliacove/gateway/process.py
@@ -13,8 +13,8 @@
 from magnoliacove.configuration.routes import CallerLimits
 from magnoliacove.configuration.routes import ModelShape
 from magnoliacove.directory import Lease
+from magnoliacove.directory.engine_status import EngineStatuses
 from magnoliacove.directory.health import Health
-from magnoliacove.directory.holdings import Holdings
 from magnoliacove.directory.targets import TargetList
 from magnoliacove.gateway.callers import CallerConnection
 from magnoliacove.gateway.callers import Exchange
@@ -90,7 +90,7 @@
         bounds = settings.bounds
         grace = min(_LAPSE_GRACE, bounds.drain - _REMOVAL_KNOWN)
         targets = TargetList(recorder, grace=max(0.0, grace))
-        health, holdings = Health(recorder), Holdings()
+        health, holdings = Health(recorder), EngineStatuses()
         loads, unheard = limits.LoadBook(), limits.UnheardRequests()
         backpressure = BackpressureBook(recorder)
         grants = GrantBook(settings.name)
--- a/magnoliacove/gateway/stalls.py
+++ b/magnoliacove/gateway/stalls.py
@@ -108,7 +108,7 @@
         }
         moving = state.holdings.list_moving()
         # One that started again has lost what it held of these streams.
-        lost.update(state.targets.list_former())
+        lost.update(state.targets.list_former_incarnations())
         if not lost and not moving:
             return
         for stream in tuple(self.streams):
--- a/magnoliacove/gateway/state.py
+++ b/magnoliacove/gateway/state.py
@@ -8,8 +8,8 @@
 import trio
 
 from magnoliacove.configuration.routes import RouteTable
+from magnoliacove.directory.engine_status import EngineStatuses
 from magnoliacove.directory.health import Health
-from magnoliacove.directory.holdings import Holdings
 from magnoliacove.directory.targets import TargetList
 from magnoliacove.gateway.pool import ChannelPool
 from magnoliacove.limits.backpressure import BackpressureBook
@@ -44,7 +44,7 @@
     meters: Meters
     targets: TargetList
     health: Health
-    holdings: Holdings
+    holdings: EngineStatuses
     loads: LoadBook
     unheard: UnheardRequests
     budget: SharedRetryBudget
@@ -102,12 +102,12 @@
 
     async def wait_routes(self, patience: float) -> None:
         """Wait until routes and targets are known, or patience has ended."""
-        if self.routes is not None and self.targets.known.is_set():
+        if self.routes is not None and self.targets.populated.is_set():
             return
         with trio.move_on_after(patience):
             if self.routes is None:
                 await self._routes_known.wait()
-            await self.targets.known.wait()
+            await self.targets.populated.wait()
 
     def listen_routes(self, listener: Callable[[], None]) -> None:
         """Call a function after each new configuration."""
--- a/magnoliacove/gateway/streams.py
+++ b/magnoliacove/gateway/streams.py
@@ -372,7 +372,7 @@
     def _note_trouble(self, target: ListedTarget) -> None:
         """Keep this stream, and new ones for a while, off an engine."""
         self._hold.avoid(target.name)
-        self._state.candidates.note_trouble(target.name)
+        self._state.candidates.pause_engine(target.name)
 
     def _note_refusal(self, status: int, faulty: str) -> None:
         """Keep new requests off the engine that a refusal names.
--- a/magnoliacove/limits/unheard.py
+++ b/magnoliacove/limits/unheard.py
@@ -16,7 +16,7 @@
 import trio
 
 from magnoliacove.limits.windows import WindowCounts
-from magnoliacove.routing.paths import Ahead
+from magnoliacove.routing.paths import RequestsAhead
 
 __all__ = ["UnheardRequests"]
 
@@ -128,7 +128,7 @@
 
     def draw(
         self, service: str, rng: random.Random, displaced: int = 0
-    ) -> Ahead:
+    ) -> RequestsAhead:
         """Return how many of them are taken to go before a request.
 
         None to all, each as likely: of the requests that choose by the same
@@ -145,7 +145,7 @@
         own = self._own.count(service)
         expected = _TURNS * max(0.0, unheard) + len(self._new) * own
         expected += displaced
-        return Ahead(int(rng.uniform(0.0, expected + 1.0)), seconds)
+        return RequestsAhead(int(rng.uniform(0.0, expected + 1.0)), seconds)
 
     def _take_off(self, entry: str) -> None:
         self._new.discard(entry)
--- a/magnoliacove/operators/service.py
+++ b/magnoliacove/operators/service.py
@@ -167,7 +167,7 @@
                     f"target {request.target} has announced no agent; see "
                     "'magnoliacove status'"
                 )
-            if not await self._orders.try_take():
+            if not await self._orders.try_acquire():
                 raise errors.ConflictError(
                     f"{self._orders.holder} gives orders at this moment; "
                     "try again in a few seconds"
--- a/magnoliacove/peers/datagram.py
+++ b/magnoliacove/peers/datagram.py
@@ -10,7 +10,7 @@
 import zlib
 
 from magnoliacove import errors
-from magnoliacove.directory.holdings import Holding
+from magnoliacove.directory.engine_status import EngineStatus
 from magnoliacove.directory.listed import LayerRange
 from magnoliacove.limits.backpressure import ToldLimit
 from magnoliacove.limits.grants import Grant
@@ -53,7 +53,7 @@
 
     target: str
     age: float
-    holding: Holding
+    holding: EngineStatus
 
 
 @dataclass(frozen=True)
@@ -373,7 +373,7 @@
         ReportedHolding(
             target,
             age / 1000,
-            Holding(
+            EngineStatus(
                 LayerRange(first, end) if end > first else None,
                 loading,
                 slowness,
--- a/magnoliacove/placement/duty.py
+++ b/magnoliacove/placement/duty.py
@@ -13,9 +13,9 @@
 
 from magnoliacove import errors
 from magnoliacove.configuration.routes import ModelShape
+from magnoliacove.directory.engine_status import EngineStatus
+from magnoliacove.directory.engine_status import EngineStatuses
 from magnoliacove.directory.health import Health
-from magnoliacove.directory.holdings import Holding
-from magnoliacove.directory.holdings import Holdings
 from magnoliacove.directory.listed import LayerRange
 from magnoliacove.directory.listed import ListedTarget
 from magnoliacove.directory.targets import TargetList
@@ -74,7 +74,7 @@
 
     targets: TargetList
     health: Health
-    holdings: Holdings
+    holdings: EngineStatuses
     loads: LoadBook
     permits: Permits
     calls: EngineCalls
@@ -186,7 +186,7 @@
                     # Nobody listens there: there is no need to ask again.
                     engine.failures = _FAILURES
         if report is not None:
-            if self._sources.targets.observe(
+            if self._sources.targets.note_incarnation(
                 target.entry, report.incarnation, directly=True
             ):
                 # It is planned for anew, as one that holds nothing.
@@ -220,7 +220,7 @@
         moving = engine.interrupted and layers != report.layers
         changed = self._sources.holdings.note(
             target.name,
-            Holding(
+            EngineStatus(
                 layers, report.loading, report.slowness, report.used, moving
             ),
         )
@@ -386,7 +386,7 @@
         held = report.layers if report else None
         kept = held.intersect(item.layers) if held else None
         moving = item.closes_gap and kept != held
-        holding = Holding(kept, True, moving=moving)
+        holding = EngineStatus(kept, True, moving=moving)
         if self._sources.holdings.note(target.name, holding):
             self._sources.tell()
 
--- a/magnoliacove/placement/leadership.py
+++ b/magnoliacove/placement/leadership.py
@@ -91,7 +91,7 @@
         sources = self._sources
         try:
             with trio.move_on_after(_RENEW_TIMEOUT) as scope:
-                await self._lease.try_take()
+                await self._lease.try_acquire()
         except errors.PlatformError as why:
             sources.note_lost(str(why))
             return
--- a/magnoliacove/routing/__init__.py
+++ b/magnoliacove/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Routing: what is known of targets and links, and the choice of chains."""
+"""Routing: estimates for targets and links, and the choice of chains."""
 
 from typing import TYPE_CHECKING
 
--- a/magnoliacove/routing/candidates.py
+++ b/magnoliacove/routing/candidates.py
@@ -9,61 +9,66 @@
 import trio
 
 from magnoliacove.configuration.routes import ModelShape
+from magnoliacove.directory.engine_status import EngineStatuses
 from magnoliacove.directory.health import Health
-from magnoliacove.directory.holdings import Holdings
 from magnoliacove.directory.listed import ListedTarget
 from magnoliacove.directory.targets import TargetList
 from magnoliacove.limits.load import LoadBook
 from magnoliacove.limits.permits import Permits
 from magnoliacove.limits.unheard import UnheardRequests
-from magnoliacove.routing.paths import Ahead
 from magnoliacove.routing.paths import PathCosts
+from magnoliacove.routing.paths import RequestsAhead
 from magnoliacove.routing.paths import StageOption
 
-__all__ = ["Candidates", "TargetRecord"]
+__all__ = ["Candidates", "TargetStatistics"]
 
-# The part of the pipe between data centres that requests may use.  The
-# rest lets a prompt's transfer pass before it delays others' tokens.
-_PIPE_SHARE = 0.75
-# A usual stream lasts about so long, in seconds.
+# Share of the bandwidth between data centres that requests may use.  The
+# rest is headroom, so that the transfer of a prompt does not delay the
+# tokens of other requests.
+_LINK_SHARE = 0.75
+# Typical duration of a stream, in seconds.
 _STREAM_SECONDS = 3.0
+# Weight of a new sample in the moving mean of response times.
 _SMOOTHING = 0.2
-_START_SECONDS = 0.05
-# How long an engine that refused is left alone, at first and at most, and
-# after how long without a refusal it begins anew; seconds.
-_FIRST_PAUSE = 0.3
-_MOST_PAUSE = 2.4
-_REFUSAL_FORGIVEN = 5.0
-_NEVER_REFUSED = (0.0, -math.inf)
-# What an engine with a limit is taken to need of its time while it takes a
-# request from this gateway: what it takes is not left unused while others, as
-# quick as it is, fill up.
-_TAKING_PART = 0.8
-# What one failure adds to a target's expected time, in seconds, and how
-# fast that fades.
-_FAILURE_SECONDS = 1.0
-_FAILURE_FADES = 5.0
+# Response time assumed for a target without samples, in seconds.
+_INITIAL_SECONDS = 0.05
+# Seconds for which an engine gets no new requests after a refusal: the
+# initial and the longest pause, and the time without a refusal after which
+# the next pause is the initial one again.
+_INITIAL_PAUSE = 0.3
+_MAX_PAUSE = 2.4
+_PAUSE_RESET_AFTER = 5.0
+_NEVER_PAUSED = (0.0, -math.inf)
+# Factor on the expected time of an engine that has a rate limit and accepts
+# a request from this gateway now.  It makes the engine preferred, so that
+# the allowed rate does not stay unused while equally fast engines fill up.
+_LIMITED_TIME_FACTOR = 0.8
+# Seconds that one failure adds to the expected time of a target, and
+# seconds after which one failure no longer counts.
+_FAILURE_PENALTY = 1.0
+_FAILURE_DECAY = 5.0
 
 
 @dataclass
-class TargetRecord:
-    """What this process learned of one target of a plain service.
+class TargetStatistics:
+    """Response times and failures of one target of a plain service.
 
-    :param seconds: how long answers take, as a moving mean.
-    :param failures: recent failures, fading.
+    :param seconds: moving mean of the response time.
+    :param failures: recent failures, decaying over time.
+    :param changed_at: when ``failures`` was last updated.
     """
 
-    seconds: float = _START_SECONDS
+    seconds: float = _INITIAL_SECONDS
     failures: float = 0.0
     changed_at: float = 0.0
 
     def read_failures(self, now: float) -> float:
-        """Return the failures that still count."""
-        fade = (now - self.changed_at) / _FAILURE_FADES
-        return max(0.0, self.failures - fade)
+        """Return the recent failures, decayed until now."""
+        decay = (now - self.changed_at) / _FAILURE_DECAY
+        return max(0.0, self.failures - decay)
 
     def note(self, now: float, *, failed: bool, seconds: float) -> None:
-        """Learn from one exchange."""
+        """Update the statistics with one exchange."""
         self.failures = self.read_failures(now) + (1.0 if failed else 0.0)
         self.changed_at = now
         if not failed:
@@ -72,14 +77,14 @@
 
 
 class Candidates:
-    """Answers who could serve a request, best first."""
+    """Finds the engines and targets that could serve a request."""
 
     def __init__(
         self,
         data_centre: str,
         targets: TargetList,
         health: Health,
-        holdings: Holdings,
+        holdings: EngineStatuses,
         loads: LoadBook,
         unheard: UnheardRequests,
         permits: Permits,
@@ -93,8 +98,8 @@
         self._unheard = unheard
         self._permits = permits
         self._rng = rng
-        self._records: dict[str, TargetRecord] = {}
-        self._refused: dict[str, tuple[float, float]] = {}
+        self._statistics: dict[str, TargetStatistics] = {}
+        self._paused: dict[str, tuple[float, float]] = {}
 
     # Model engines.
 
@@ -106,11 +111,12 @@
         *,
         beyond_limits: bool = False,
     ) -> list[StageOption]:
-        """Return the engines of a model with their layers and room.
+        """Return the usable engines of a model with layers and capacity.
 
-        :param avoided: engines that are not to be used.
-        :param beyond_limits: also engines that may be sent no request now,
-            where another engine would hand it on to them.
+        :param avoided: engines to leave out.
+        :param beyond_limits: include engines to which this gateway may not
+            send a request now, if a preceding engine of the path would
+            forward the request to them.
         """
         now = trio.current_time()
         options = []
@@ -119,20 +125,22 @@
                 target.name
             ):
                 continue
-            holding = self._holdings.read(target)
-            if holding.layers is None:
+            status = self._holdings.read(target)
+            if status.layers is None:
                 continue
             if target.accelerator not in shape.accelerators:
                 continue
             if self._permits.is_closed(target.name):
                 continue
-            taking = self._permits.may_send(target.name)
-            inner = holding.layers.first > 0
-            if not taking and not (beyond_limits and inner):
+            permitted = self._permits.may_send(target.name)
+            inner = status.layers.first > 0
+            if not permitted and not (beyond_limits and inner):
                 continue
             load = self._loads.read(target.name)
-            room = shape.count_room(target.accelerator, holding.layers.count)
-            if self._refused.get(target.name, _NEVER_REFUSED)[1] > now:
+            capacity = shape.count_room(
+                target.accelerator, status.layers.count
+            )
+            if self._paused.get(target.name, _NEVER_PAUSED)[1] > now:
                 continue
             options.append(
                 StageOption(
@@ -140,125 +148,140 @@
                     target.address,
                     target.data_centre,
                     target.accelerator,
-                    holding.layers,
-                    # What is reserved grows to its end, and what is used
-                    # may belong to requests of an entry that died; the
-                    # larger of both is taken.
-                    room - max(load.token_layers, holding.used),
+                    status.layers,
+                    # Reservations include tokens that are not generated
+                    # yet.  Used memory includes requests of gateways
+                    # that crashed, which have no reservation.  The
+                    # larger of the two counts.
+                    capacity - max(load.token_layers, status.used),
                     load.requests,
-                    holding.slowness * self._read_favour(target.name),
+                    status.slowness * self._read_time_factor(target.name),
                 )
             )
         return options
 
-    def draw_ahead(self, service: str) -> Ahead:
-        """Return requests of others to place before one of a model.
+    def sample_ahead(self, service: str) -> RequestsAhead:
+        """Sample how many requests of other gateways precede one of a model.
 
-        Among them are those that pass through lost engines by the last news:
-        whoever sent them leads them elsewhere now, as this process does.
+        They include the requests that pass through failed engines according
+        to the last heartbeats: their gateways reroute them now, as this
+        process reroutes its own.
         """
         displaced = sum(
             self._loads.read_others(target.name).requests
             for target in self._targets.list_service(service)
-            if self._is_lost(target.name)
+            if self._is_failed(target.name)
         )
         return self._unheard.draw(service, self._rng, displaced)
 
-    def draw_displaced(self, lost: Collection[str]) -> Ahead:
-        """Return requests of others to lead around lost engines before one.
+    def sample_displaced(
+        self, failed_engines: Collection[str]
+    ) -> RequestsAhead:
+        """Sample how many requests of others are rerouted before this one.
+
+        All gateways detect a failure within milliseconds of each other, and
+        each reroutes its own requests before it receives the new paths of
+        the others.
 
-        All gateways learn of a loss within milliseconds, and each leads its
-        own requests around it before it hears where the others lead theirs.
+        :param failed_engines: the engines that failed at the same time.
         """
-        passing = sum(
-            self._loads.read_others(target).requests for target in lost
+        affected = sum(
+            self._loads.read_others(target).requests
+            for target in failed_engines
         )
-        return Ahead(int(self._rng.uniform(0.0, passing + 1.0)))
+        return RequestsAhead(int(self._rng.uniform(0.0, affected + 1.0)))
 
-    def _is_lost(self, target: str) -> bool:
+    def _is_failed(self, target: str) -> bool:
         suspicion = self._health.find(target)
         return suspicion is not None and not suspicion.leaving
 
-    def is_whole(self, service: str, shape: ModelShape) -> bool:
-        """Return whether usable engines hold every layer of a model.
+    def covers_all_layers(self, service: str, shape: ModelShape) -> bool:
+        """Return whether usable engines have loaded every layer of a model.
 
-        Whether they have room, or are left alone for a moment, does not
-        matter: both may change at once.
+        Capacity and pauses after refusals are ignored, since both may change
+        at any moment.
         """
-        held: set[int] = set()
+        loaded: set[int] = set()
         for target in self._targets.list_service(service):
             layers = self._holdings.read(target).layers
             if layers is not None and self._health.is_usable(target.name):
-                held.update(range(layers.first, layers.end))
-        return held >= set(range(shape.layers))
+                loaded.update(range(layers.first, layers.end))
+        return loaded >= set(range(shape.layers))
 
     def make_costs(
         self, shape: ModelShape, prompt: float, answer: float
     ) -> PathCosts:
-        """Return what a request of a model costs on its engines."""
+        """Return the cost model of a request for the engines of a model.
+
+        :param prompt: tokens of the prompt.
+        :param answer: expected tokens of the answer.
+        """
         crossing = 0.0
         if shape.link_mbps > 0:
             bits = (prompt + answer) * shape.hop_bytes * 8
-            busy = self._loads.all_crossings / max(
+            utilization = self._loads.all_crossings / max(
                 1.0, self.count_crossings(shape)
             )
-            crossing = bits / (shape.link_mbps * 1e6) * (1 + 4 * busy)
+            crossing = bits / (shape.link_mbps * 1e6) * (1 + 4 * utilization)
         return PathCosts(shape, prompt, answer, crossing)
 
     def count_crossings(self, shape: ModelShape) -> float:
-        """Return how many hops between data centres may run at a time."""
-        bytes_a_second = shape.link_mbps * 1e6 / 8
+        """Return how many hops between data centres may run concurrently."""
+        bytes_per_second = shape.link_mbps * 1e6 / 8
         needed = shape.hop_bytes * shape.usual_tokens / _STREAM_SECONDS
-        return _PIPE_SHARE * bytes_a_second / needed if needed else 1e9
+        return _LINK_SHARE * bytes_per_second / needed if needed else 1e9
 
     def may_cross(self, shape: ModelShape) -> bool:
-        """Return whether the pipe between data centres has room."""
+        """Return whether one more hop between data centres may start."""
         return self._loads.all_crossings < self.count_crossings(shape)
 
-    def note_trouble(self, target: str) -> None:
-        """Keep new requests off an engine that refused or broke off one.
+    def pause_engine(self, target: str) -> None:
+        """Block new requests to an engine that refused or reset one.
 
-        It had no room after all, or gives layers up, or leaves, and the
-        news of that is still on its way; or it resets requests while its
-        reports are good.  Nearly all paths begin at the quickest engine: a
-        thousand streams were sent to one that reset each of them, and used
-        up the budget of repeats.  One that does so again is left alone for
-        twice as long, so each gateway loses a few requests to it at most.
+        The engine has no capacity, or gives up layers, or leaves, and the
+        status update has not arrived yet; or it resets requests although
+        its reports are good.  Nearly all paths begin at the fastest engine:
+        without a pause, a thousand streams were sent to an engine that reset
+        each of them, which exhausted the retry budget.  The pause doubles
+        with each repetition, so each gateway loses only a few requests to
+        such an engine.
         """
         now = trio.current_time()
-        pause, until = self._refused.get(target, _NEVER_REFUSED)
+        pause, until = self._paused.get(target, _NEVER_PAUSED)
         if until > now:
             return
-        again = now - until < _REFUSAL_FORGIVEN
-        pause = min(pause * 2, _MOST_PAUSE) if again else _FIRST_PAUSE
-        self._refused[target] = (pause, now + pause)
+        repeated = now - until < _PAUSE_RESET_AFTER
+        pause = min(pause * 2, _MAX_PAUSE) if repeated else _INITIAL_PAUSE
+        self._paused[target] = (pause, now + pause)
 
-    def read_first_wait(self, service: str, waiting: int) -> float:
-        """Return seconds until a model's first engines take a request.
+    def read_first_engine_wait(self, service: str, waiting: int) -> float:
+        """Return seconds until a first engine of a model accepts a request.
 
-        :param waiting: requests that go before it.
-        :returns: 0 when one takes any or none is known, infinity when this
-            gateway has no part of their limits.
+        :param waiting: requests that are sent before it.
+        :returns: 0 when an engine accepts requests now or no first engine
+            is known, infinity when this gateway has no share of their
+            limits.
         """
-        firsts = [
+        first_engines = [
             target.name
             for target in self._targets.list_service(service)
-            if self._health.is_usable(target.name) and self._is_first(target)
+            if self._health.is_usable(target.name)
+            and self._runs_first_layer(target)
         ]
-        wait = min(map(self._permits.read_wait, firsts), default=0.0)
-        rate = sum(map(self._permits.read_rate, firsts))
+        wait = min(map(self._permits.read_wait, first_engines), default=0.0)
+        rate = sum(map(self._permits.read_rate, first_engines))
         return wait + waiting / rate if rate else wait
 
-    def _is_first(self, target: ListedTarget) -> bool:
+    def _runs_first_layer(self, target: ListedTarget) -> bool:
         layers = self._holdings.read(target).layers
         return layers is not None and layers.first == 0
 
     # Plain services.
 
     def read_wait(self, service: str) -> float:
-        """Return seconds until a plain service takes a request.
+        """Return seconds until a target of a plain service accepts a request.
 
-        :returns: infinity when no target may be sent one for now.
+        :returns: infinity when no target accepts requests for now.
         """
         waits = [
             self._permits.read_wait(target.name)
@@ -272,47 +295,55 @@
         tried: Collection[str],
         among: Collection[str] | None = None,
     ) -> ListedTarget | None:
-        """Return the target that is expected to answer first, or None.
+        """Return the target with the shortest expected time, or None.
+
+        Suspected targets are chosen only when no other target is left.
 
-        :param tried: targets that are left out.
+        :param tried: targets to leave out.
         :param among: the only targets to choose from, None for all.
         """
-        found = [
+        permitted = [
             target
             for target in self._targets.list_service(service)
             if target.name not in tried
             and self._permits.may_send(target.name)
             and (among is None or target.name in among)
         ]
-        usable = [t for t in found if self._health.is_usable(t.name)]
-        choice: Sequence[ListedTarget] = usable or found
+        usable = [t for t in permitted if self._health.is_usable(t.name)]
+        choice: Sequence[ListedTarget] = usable or permitted
         if not choice:
             return None
         now = trio.current_time()
-        return min(choice, key=lambda target: self._expect(target, now))
+        return min(choice, key=lambda target: self._rank(target, now))
 
-    def read_record(self, target: str) -> TargetRecord:
-        """Return what was learned of a target."""
-        return self._records.setdefault(target, TargetRecord())
+    def read_statistics(self, target: str) -> TargetStatistics:
+        """Return the statistics of a target."""
+        return self._statistics.setdefault(target, TargetStatistics())
 
     def forget(self, known: set[str]) -> None:
-        """Drop what was learned of targets that no longer exist."""
-        for name in set(self._records) - known:
-            del self._records[name]
-        for name in set(self._refused) - known:
-            del self._refused[name]
-
-    def _expect(self, target: ListedTarget, now: float) -> tuple[float, float]:
-        record = self.read_record(target.name)
+        """Discard the state of targets that no longer exist.
+
+        :param known: the names of the targets that exist.
+        """
+        for name in set(self._statistics) - known:
+            del self._statistics[name]
+        for name in set(self._paused) - known:
+            del self._paused[name]
+
+    def _rank(self, target: ListedTarget, now: float) -> tuple[float, float]:
+        statistics = self.read_statistics(target.name)
         running = self._loads.read(target.name).requests
         turns = 1 + running / max(1, target.slots)
-        failures = record.read_failures(now) * _FAILURE_SECONDS
-        seconds = record.seconds * turns * self._read_favour(target.name)
-        # Equals are drawn, so that entries do not all choose the first.
+        failures = statistics.read_failures(now) * _FAILURE_PENALTY
+        seconds = (
+            statistics.seconds * turns * self._read_time_factor(target.name)
+        )
+        # Ties are broken at random, so that gateways do not all choose the
+        # same target.
         return failures + seconds, self._rng.random()
 
-    def _read_favour(self, target: str) -> float:
-        """Return the part of its time that a target is taken to need."""
+    def _read_time_factor(self, target: str) -> float:
+        """Return the factor on the expected time of a target."""
         if not self._permits.is_limited(target):
             return 1.0
-        return _TAKING_PART if self._permits.may_send(target) else 1.0
+        return _LIMITED_TIME_FACTOR if self._permits.may_send(target) else 1.0
--- a/magnoliacove/routing/chains.py
+++ b/magnoliacove/routing/chains.py
@@ -1,6 +1,6 @@
-"""Choosing a whole chain of stages for a stream.
+"""Choice of a complete chain of stages for a stream.
 
-The targets of a model hold ranges of layers that may overlap.  A chain
+The targets of a model serve ranges of layers that may overlap.  A chain
 covers all layers once, in order; a target may serve a part of its range.
 """
 
@@ -49,7 +49,7 @@
 
 
 class ChainChooser(Protocol):
-    """Chooses the chain for a new stream, or for what a stream lost."""
+    """Chooses the chain for a new stream, or for the failed part of one."""
 
     def choose(
         self,
@@ -58,16 +58,16 @@
         end_layer: int,
         estimates: Estimates,
     ) -> Chain | None:
-        """Return a chain over the layers, or None when they have a gap."""
+        """Return a chain over the layers, or None if no target has a layer."""
 
 
 def list_segments(
     options: Sequence[StageOption], first_layer: int, end_layer: int
 ) -> dict[_Segment, list[StageOption]]:
-    """Return the ranges between cuts, with the targets that hold each.
+    """Return the ranges between cuts, with the targets that cover each.
 
-    Cuts are where some target begins or ends; only ranges that begin at
-    the first layer or a cut, and end at a cut or the last layer, matter.
+    A cut is a layer at which the range of a target begins or ends.  Ranges
+    begin at the first layer or a cut, and end at a cut or the last layer.
     """
     cuts = {first_layer, end_layer}
     for option in options:
@@ -84,12 +84,13 @@
 
 
 class ExpectedDelay:
-    """Our choice: the chain with the least expected cost over a sample.
+    """The chain with the lowest expected cost over a random sample.
 
-    A stage costs what one more stream there costs everybody, in proportion
-    to the layers it runs; a link costs its delay.  For each range only a
-    few targets, drawn at random, are weighed, so entries that see the same
-    old report do not all run to the same target.
+    The cost of a stage is the delay that one more stream there adds to all
+    its streams, in proportion to the layers that it runs; the cost of a link
+    is its delay.  For each range only a few targets, sampled at random, are
+    compared, so that entries with the same outdated report do not all choose
+    the same target.
     """
 
     def __init__(
@@ -105,35 +106,35 @@
         end_layer: int,
         estimates: Estimates,
     ) -> Chain | None:
-        """Return a chain over the layers, or None when they have a gap."""
+        """Return a chain over the layers, or None if no target has a layer."""
         segments = list_segments(options, first_layer, end_layer)
         costs = {o.target: _stage_cost(o, estimates) for o in options}
-        # The best way to end at a cut, for each last target.
+        # The cheapest chain that ends at each cut, by its last target.
         best: dict[int, dict[str, tuple[float, Chain]]] = defaultdict(dict)
         best[first_layer][estimates.entry] = (0.0, ())
         for segment in sorted(segments):
             start, stop = segment
             if not best[start]:
                 continue
-            for option in self._draw(segments[segment]):
+            for option in self._sample_options(segments[segment]):
                 share = (stop - start) / (
                     option.end_layer - option.first_layer
                 )
-                ways = [
+                candidates = [
                     (
                         before + estimates.link_seconds(name, option.target),
                         path,
                     )
                     for name, (before, path) in best[start].items()
-                    # A target serves one range of a stream.
+                    # A target serves at most one range of a stream.
                     if all(s.target != option.target for s in path)
                 ]
-                if not ways:
+                if not candidates:
                     continue
-                cost, chain = min(ways, key=lambda way: way[0])
+                cost, chain = min(candidates, key=lambda pair: pair[0])
                 cost += costs[option.target] * share
-                known = best[stop].get(option.target)
-                if known is None or cost < known[0]:
+                present = best[stop].get(option.target)
+                if present is None or cost < present[0]:
                     stage = ChainStage(option.target, start, stop)
                     best[stop][option.target] = (cost, (*chain, stage))
         ends = best[end_layer]
@@ -144,10 +145,10 @@
                 (cost + estimates.link_seconds(name, estimates.entry), chain)
                 for name, (cost, chain) in ends.items()
             ),
-            key=lambda way: way[0],
+            key=lambda pair: pair[0],
         )[1]
 
-    def _draw(self, options: list[StageOption]) -> list[StageOption]:
+    def _sample_options(self, options: list[StageOption]) -> list[StageOption]:
         if len(options) <= self._sample:
             return options
         return self._rng.sample(options, self._sample)
@@ -159,11 +160,11 @@
     return estimate.marginal_seconds() + penalty
 
 
-# Baselines.  They fix the cuts first and choose each stage by itself.
+# Baselines for comparison.  They choose each stage separately.
 
 
-class _Greedy:
-    """Goes from cut to cut with the longest ranges and picks per stage."""
+class _GreedyChooser:
+    """Chooses stage by stage, each as long as its target's range allows."""
 
     def __init__(self, rng: random.Random | None = None) -> None:
         self._rng = rng or random.Random()
@@ -175,14 +176,14 @@
         end_layer: int,
         estimates: Estimates,
     ) -> Chain | None:
-        """Return a chain over the layers, or None when they have a gap."""
+        """Return a chain over the layers, or None if no target has a layer."""
         chain: list[ChainStage] = []
         at = first_layer
         while at < end_layer:
-            here = [o for o in options if o.first_layer <= at < o.end_layer]
-            if not here:
+            usable = [o for o in options if o.first_layer <= at < o.end_layer]
+            if not usable:
                 return None
-            option = self._pick(here, estimates)
+            option = self._pick(usable, estimates)
             stop = min(option.end_layer, end_layer)
             chain.append(ChainStage(option.target, at, stop))
             at = stop
@@ -194,8 +195,8 @@
         raise NotImplementedError
 
 
-class RandomChoice(_Greedy):
-    """Baseline: any target."""
+class RandomChoice(_GreedyChooser):
+    """Baseline: a random target."""
 
     def _pick(
         self, options: list[StageOption], estimates: Estimates
@@ -203,7 +204,7 @@
         return self._rng.choice(options)
 
 
-class RoundRobin(_Greedy):
+class RoundRobin(_GreedyChooser):
     """Baseline: each target in turn."""
 
     def __init__(self, rng: random.Random | None = None) -> None:
@@ -217,8 +218,8 @@
         return options[self._count % len(options)]
 
 
-class LeastLoad(_Greedy):
-    """Baseline: the target with the least load in its last report."""
+class LeastLoad(_GreedyChooser):
+    """Baseline: the target with the lowest load in its last report."""
 
     def _pick(
         self, options: list[StageOption], estimates: Estimates
@@ -226,13 +227,13 @@
         return min(options, key=lambda o: estimates.target(o.target).running)
 
 
-class TwoChoices(_Greedy):
-    """Baseline: the less loaded of two targets drawn at random."""
+class TwoChoices(_GreedyChooser):
+    """Baseline: the less loaded of two randomly sampled targets."""
 
     def _pick(
         self, options: list[StageOption], estimates: Estimates
     ) -> StageOption:
-        drawn = self._rng.sample(options, min(2, len(options)))
+        sampled = self._rng.sample(options, min(2, len(options)))
         return min(
-            drawn, key=lambda o: estimates.target(o.target).expected_running
+            sampled, key=lambda o: estimates.target(o.target).expected_running
         )
--- a/magnoliacove/routing/owners.py
+++ b/magnoliacove/routing/owners.py
@@ -1,4 +1,4 @@
-"""Which target owns an idempotency key."""
+"""The owner of an idempotency key among targets."""
 
 from collections.abc import Iterable
 import hashlib
@@ -9,7 +9,7 @@
 def choose_owner(key: str, targets: Iterable[str]) -> str:
     """Return the target that owns a key, by rendezvous hashing.
 
-    A target that comes or goes changes the owner of its own keys only.
+    Adding or removing a target changes the owner only of its own keys.
 
     :returns: "" when there are no targets.
     """
--- a/magnoliacove/routing/paths.py
+++ b/magnoliacove/routing/paths.py
@@ -1,13 +1,14 @@
-"""Choosing the engines that one request passes through.
+"""Choice of the engines that one request passes through.
 
-Engines hand a request on by themselves; whoever sends it names the whole
-path.  A path runs every layer once and in order, uses an engine once, and
-leaves room for the request in the memory of each.
+Engines forward a request by themselves; the sender names the whole path.  A
+path runs every layer once and in order, uses each engine at most once, and
+fits into the free memory of each.
 
-Other gateways choose at the same time and by the same news.  Requests of
-theirs that are taken to go first are placed where they are quickest, and
-then this one: if each gateway took the quickest path of the news, all would
-take the same one, and prompts would queue at its engines for seconds.
+Other gateways choose at the same time with the same load reports.  The
+search first assigns the requests of theirs that are assumed to precede this
+one, each to its fastest path, and then this one.  If every gateway took the
+fastest path by the reports, all would take the same one, and prompts would
+queue at its engines for seconds.
 """
 
 from collections import defaultdict
@@ -22,110 +23,111 @@
 from magnoliacove.routing.search import describe_bottlenecks
 from magnoliacove.routing.search import search_cuts
 from magnoliacove.routing.search import search_path
-from magnoliacove.routing.stages import NONE_AHEAD
-from magnoliacove.routing.stages import Ahead
+from magnoliacove.routing.stages import NO_REQUESTS_AHEAD
 from magnoliacove.routing.stages import Path
 from magnoliacove.routing.stages import PathStage
+from magnoliacove.routing.stages import RequestsAhead
 from magnoliacove.routing.stages import StageOption
 from magnoliacove.routing.stages import make_path
 
 __all__ = [
     "HOP_SECONDS",
-    "NONE_AHEAD",
-    "Ahead",
+    "NO_REQUESTS_AHEAD",
+    "RequestsAhead",
     "Path",
     "PathCosts",
     "PathStage",
     "StageOption",
     "describe_bottlenecks",
-    "find_detour",
+    "find_reroute",
     "find_path",
 ]
 
-# Requests ahead are placed in so many groups at most, each of which costs a
-# search of one data centre.
-_MOST_GROUPS = 8
+# Maximum number of groups in which preceding requests are assigned to paths.
+# Each group costs a search of one data centre.
+_MAX_GROUPS = 8
 
 
 def find_path(
     options: Sequence[StageOption],
     costs: PathCosts,
-    firsts: Collection[str] | None = None,
-    ahead: Ahead = NONE_AHEAD,
+    first_engines: Collection[str] | None = None,
+    ahead: RequestsAhead = NO_REQUESTS_AHEAD,
 ) -> Path | None:
-    """Return the quickest path with room for the request, or None.
+    """Return the fastest path with capacity for the request, or None.
 
-    :param firsts: the engines that may be first, None when all may.
-    :param ahead: requests that are placed before this one, each where it is
-        quickest.  They only change which path is chosen: one is found
-        whenever one is found without them.
+    :param first_engines: the engines that may be first, None for all.
+    :param ahead: requests that are assigned before this one, each to its
+        fastest path.  They affect only which path is returned, not whether
+        one is returned.
 
-    Paths inside one data centre are looked at first.  The pipe between
-    data centres is shared by all and moves one transfer after another, so
-    it is used only while no data centre has a whole path of its own.
+    Paths inside one data centre are preferred.  All gateways share the link
+    between data centres, which carries one transfer after another, so it is
+    used only while no data centre has a complete path of its own.
     """
-    if firsts is not None:
+    if first_engines is not None:
         options = [
             option
             for option in options
-            if option.layers.first > 0 or option.target in firsts
+            if option.layers.first > 0 or option.target in first_engines
         ]
-    places = _DataCentres(options, costs)
-    found = _take_turn(places, ahead)
-    if found is None and len(places.names) > 1:
+    data_centres = _DataCentrePaths(options, costs)
+    path = _choose_after(data_centres, ahead)
+    if path is None and len(data_centres.names) > 1:
         return search_path(options, costs)
-    return found
+    return path
 
 
-def find_detour(
+def find_reroute(
     path: Path,
-    lost: Collection[str],
+    failed: Collection[str],
     options: Sequence[StageOption],
     costs: PathCosts,
-    ahead: Ahead = NONE_AHEAD,
+    ahead: RequestsAhead = NO_REQUESTS_AHEAD,
 ) -> Path | None:
-    """Return a path with other engines in place of lost ones, or None.
+    """Return a path with other engines in place of the failed ones, or None.
 
-    The other stages stay as they are, so what they hold of the request is
-    kept and only the new ones read it again.
+    The other stages stay unchanged, so they keep their state of the request
+    and only the new ones process its prompt again.
 
-    :param lost: engines of the path that are to be left; not the first.
-    :param ahead: requests that are led around the same engines before.
+    :param failed: engines of the path to replace; not the first.
+    :param ahead: requests that are rerouted around the same engines before.
     """
-    return _take_turn(_Detours(path, lost, options, costs), ahead)
+    return _choose_after(_ReroutedPaths(path, failed, options, costs), ahead)
 
 
-class _Choice(Protocol):
-    """What is quickest now, and what changes when requests go there."""
+class _PathSearch(Protocol):
+    """A search for the fastest path that accounts for placed requests."""
 
     def find(self) -> Path | None:
-        """Return the quickest path with room, or None."""
+        """Return the fastest path with capacity, or None."""
 
-    def load(self, path: Path, placed: Ahead) -> None:
-        """Take some requests to be on a path."""
+    def place(self, path: Path, placed: RequestsAhead) -> None:
+        """Add the load of some requests to the engines of a path."""
 
 
-def _take_turn(choice: _Choice, ahead: Ahead) -> Path | None:
-    """Return the path that is left after the requests ahead."""
-    left = ahead.requests
-    group = max(1, math.ceil(left / _MOST_GROUPS))
+def _choose_after(search: _PathSearch, ahead: RequestsAhead) -> Path | None:
+    """Return the fastest path after the preceding requests are placed."""
+    remaining = ahead.requests
+    group = max(1, math.ceil(remaining / _MAX_GROUPS))
     taken: list[Path] = []
-    path = choice.find()
-    while path is not None and left > 0:
+    path = search.find()
+    while path is not None and remaining > 0:
         taken.append(path)
-        choice.load(path, Ahead(min(group, left), ahead.seconds))
-        left -= group
-        path = choice.find()
+        search.place(path, RequestsAhead(min(group, remaining), ahead.seconds))
+        remaining -= group
+        path = search.find()
     if path is None and taken:
-        # More are expected than there is room for, so any may be as good.
+        # The expected requests exceed the capacity, so any of the paths may
+        # be as good as another.
         return taken[ahead.requests % len(taken)]
     return path
 
 
-class _DataCentres:
-    """Whole paths, each inside one data centre.
+class _DataCentrePaths:
+    """Complete paths, each inside one data centre.
 
-    Only the data centre that took requests is searched again.
+    After requests are placed, only their data centre is searched again.
     """
 
     def __init__(
@@ -146,52 +148,54 @@
         return list(self._options)
 
     def find(self) -> Path | None:
-        """Return the quickest path of all, or None."""
+        """Return the fastest path of all data centres, or None."""
         paths = [path for path in self._paths.values() if path is not None]
         return min(paths, key=lambda path: path.seconds, default=None)
 
-    def load(self, path: Path, placed: Ahead) -> None:
-        """Take some requests to be on a path."""
+    def place(self, path: Path, placed: RequestsAhead) -> None:
+        """Add the load of some requests to the engines of a path."""
         name = path.stages[0].data_centre
         loaded = _add_load(self._options[name], path, self._costs, placed, ())
         self._options[name] = loaded
         self._paths[name] = search_path(loaded, self._costs)
 
 
-class _Detours:
-    """Ways around lost engines of one path; the others stay as they are."""
+class _ReroutedPaths:
+    """Paths with other engines in place of the failed ones of one path."""
 
     def __init__(
         self,
         path: Path,
-        lost: Collection[str],
+        failed: Collection[str],
         options: Sequence[StageOption],
         costs: PathCosts,
     ) -> None:
         self._path = path
-        self._lost = lost
+        self._failed = failed
         self._options = list(options)
         self._costs = costs
-        self._kept = {name for name in path.targets if name not in lost}
+        self._kept = {name for name in path.targets if name not in failed}
 
     def find(self) -> Path | None:
-        """Return the quickest detour, or None."""
-        free = [o for o in self._options if o.target not in self._kept]
+        """Return the fastest rerouted path, or None."""
+        available = [o for o in self._options if o.target not in self._kept]
         stages: list[PathStage] = []
         for stage in self._path.stages:
-            if stage.target not in self._lost:
+            if stage.target not in self._failed:
                 stages.append(stage)
                 continue
-            part = search_cuts(free, self._costs, None, stage.first, stage.end)
+            part = search_cuts(
+                available, self._costs, None, stage.first, stage.end
+            )
             if part is None:
                 return None
             stages.extend(part.stages)
             used = set(part.targets)
-            free = [o for o in free if o.target not in used]
+            available = [o for o in available if o.target not in used]
         return make_path(stages, self._path.seconds)
 
-    def load(self, path: Path, placed: Ahead) -> None:
-        """Take some requests to be on a detour."""
+    def place(self, path: Path, placed: RequestsAhead) -> None:
+        """Add the load of some requests to the new engines of a path."""
         self._options = _add_load(
             self._options, path, self._costs, placed, self._kept
         )
@@ -201,14 +205,14 @@
     options: Sequence[StageOption],
     path: Path,
     costs: PathCosts,
-    placed: Ahead,
+    placed: RequestsAhead,
     kept: Collection[str],
 ) -> list[StageOption]:
-    """Return engines with some more requests on a path.
+    """Return the engines with the load of more requests on a path.
 
-    :param kept: engines of the path that had these requests before.
+    :param kept: engines of the path that already ran these requests.
     """
-    counts = {
+    layer_counts = {
         stage.target: stage.end - stage.first
         for stage in path.stages
         if stage.target not in kept
@@ -217,13 +221,13 @@
     return [
         replace(
             option,
-            room=option.room - tokens * counts[option.target],
+            room=option.room - tokens * layer_counts[option.target],
             requests=option.requests + placed.requests,
-            ahead=Ahead(
+            ahead=RequestsAhead(
                 option.ahead.requests + placed.requests, placed.seconds
             ),
         )
-        if option.target in counts
+        if option.target in layer_counts
         else option
         for option in options
     ]
--- a/magnoliacove/routing/search.py
+++ b/magnoliacove/routing/search.py
@@ -1,4 +1,7 @@
-"""The quickest path over engines with room, by dynamic programming."""
+"""Search for the fastest path over engines with enough capacity.
+
+The search uses dynamic programming over the layers.
+"""
 
 from collections import defaultdict
 from collections.abc import Sequence
@@ -12,49 +15,54 @@
 
 __all__ = [
     "describe_bottlenecks",
-    "measure_room",
+    "measure_capacity",
     "search_cuts",
     "search_path",
 ]
 
 
-def measure_room(
+def measure_capacity(
     options: Sequence[StageOption], layers: int
 ) -> tuple[int, float]:
-    """Return the layer with the least room, and the tokens it has room for.
+    """Return the layer with the lowest capacity, and its tokens.
 
-    No request with more tokens has a path over these engines.  It is much
-    quicker to know than by a search.
+    No request with more tokens has a path over these engines.  This check is
+    much faster than a search.
     """
-    rooms = [0.0] * layers
+    capacities = [0.0] * layers
     for option in options:
-        # An engine may run a part of its layers only, so in one layer it
-        # has room for as many tokens as it has token-layers.
+        # An engine may run only one of its layers, so the capacity of a
+        # single layer in tokens is all of the engine's free token-layers.
         for n in range(option.layers.first, min(option.layers.end, layers)):
-            rooms[n] = max(rooms[n], option.room)
-    least = min(range(layers), key=rooms.__getitem__)
-    return least, rooms[least]
+            capacities[n] = max(capacities[n], option.room)
+    bottleneck = min(range(layers), key=capacities.__getitem__)
+    return bottleneck, capacities[bottleneck]
 
 
 def describe_bottlenecks(
     options: Sequence[StageOption], layers: int
 ) -> dict[str, str]:
-    """Return for each data centre the layer with the least room.
+    """Return the layer with the lowest capacity for each data centre.
 
-    It says why a request waits: ``7: 0`` that no engine with room holds
-    layer 7, ``7: 412`` that the roomiest has room for 412 tokens there.
+    The text explains why a request waits: ``7: 0`` means that no engine with
+    free capacity has layer 7, ``7: 412`` that the engine with the most
+    capacity has room for 412 tokens there.
     """
-    found = {}
-    for place in sorted({option.data_centre for option in options}):
-        inside = [o for o in options if o.data_centre == place]
-        layer, room = measure_room(inside, layers)
-        found[place] = f"{layer}: {room:.0f}"
-    return found
+    bottlenecks = {}
+    for data_centre in sorted({option.data_centre for option in options}):
+        inside = [o for o in options if o.data_centre == data_centre]
+        layer, capacity = measure_capacity(inside, layers)
+        bottlenecks[data_centre] = f"{layer}: {capacity:.0f}"
+    return bottlenecks
 
 
 @dataclass(frozen=True)
-class _Step:
-    """The best way to have run the layers before one position."""
+class _BestStep:
+    """The last step of the fastest path that ends at one position.
+
+    :param before: position and data centre of the preceding step, None at
+        the start of the path.
+    """
 
     seconds: float
     before: "tuple[int, str] | None"
@@ -64,15 +72,15 @@
 def search_path(
     options: Sequence[StageOption], costs: PathCosts
 ) -> Path | None:
-    """Return the quickest path over all layers by dynamic programming."""
+    """Return the fastest path over all layers, or None."""
     options = _drop_dominated(options, costs)
-    if measure_room(options, costs.shape.layers)[1] < costs.tokens:
+    if measure_capacity(options, costs.shape.layers)[1] < costs.tokens:
         return None
     path = search_cuts(options, costs, _list_cuts(options, costs))
     if path is not None and len(set(path.targets)) < len(path.stages):
-        # An engine that is left and entered again would be named twice,
-        # which engines refuse.  Ending each stage where its engine's
-        # layers end cannot come back to it.
+        # Engines refuse a path that names an engine twice.  If each stage
+        # ends where the layers of its engine end, the path cannot return to
+        # an engine.
         path = search_cuts(options, costs, None)
     return path
 
@@ -80,11 +88,11 @@
 def _drop_dominated(
     options: Sequence[StageOption], costs: PathCosts
 ) -> list[StageOption]:
-    """Return the engines without those that another one makes needless.
+    """Return the engines without those that another engine dominates.
 
-    One that holds the same layers or more, takes no longer for any of them
-    and has room for the request in all of them can always stand in.  Few are
-    left of a data centre's engines, which makes the search quick.
+    An engine dominates another one if it has at least the same layers, is at
+    least as fast and has capacity for the request in all of its layers.  Few
+    engines of a data centre remain, which makes the search fast.
     """
     ranked = sorted(
         (costs.layer_seconds(option), -option.layers.count, number, option)
@@ -114,43 +122,52 @@
     first: int = 0,
     last: int = 0,
 ) -> Path | None:
-    """Search among stages that end at a cut or where an engine ends.
+    """Return the fastest path of stages that end at cuts, or None.
+
+    A stage may always end at the last layer of its engine.
 
-    :param first: the layer to begin with.
-    :param last: one past the last layer to run; 0 for all.
+    :param cuts: further layers at which a stage may end, None for none.
+    :param first: the first layer to run.
+    :param last: one past the last layer to run; 0 for all layers.
     """
     last = last or costs.shape.layers
-    known = [
+    timed_options = [
         (o, costs.layer_seconds(o), costs.hop_seconds(o)) for o in options
     ]
-    best: dict[int, dict[str, _Step]] = defaultdict(dict)
-    best[first][""] = _Step(0.0, None, None)
-    positions = {first}
-    while positions:
-        at = min(positions)
-        positions.discard(at)
+    best: dict[int, dict[str, _BestStep]] = defaultdict(dict)
+    best[first][""] = _BestStep(0.0, None, None)
+    pending = {first}
+    while pending:
+        at = min(pending)
+        pending.discard(at)
         if at == last:
             break
-        for option, per_layer, hop in known:
+        for option, per_layer, hop in timed_options:
             if not option.layers.first <= at < option.layers.end:
                 continue
-            place = option.data_centre
+            data_centre = option.data_centre
             base, before = min(
                 (
                     step.seconds
-                    + (costs.crossing if from_place not in ("", place) else 0),
-                    from_place,
+                    + (
+                        costs.crossing
+                        if previous not in ("", data_centre)
+                        else 0
+                    ),
+                    previous,
                 )
-                for from_place, step in best[at].items()
+                for previous, step in best[at].items()
             )
             for end in _list_ends(option, at, cuts, last):
                 if costs.tokens * (end - at) > option.room:
                     continue
                 seconds = base + hop + per_layer * (end - at)
-                present = best[end].get(place)
+                present = best[end].get(data_centre)
                 if present is None or seconds < present.seconds:
-                    best[end][place] = _Step(seconds, (at, before), option)
-                    positions.add(end)
+                    best[end][data_centre] = _BestStep(
+                        seconds, (at, before), option
+                    )
+                    pending.add(end)
     if not best[last]:
         return None
     return _trace(best, last)
@@ -165,13 +182,13 @@
     return [cut for cut in cuts if at < cut < end] + [end]
 
 
-def _trace(best: dict[int, dict[str, _Step]], last: int) -> Path:
-    place = min(best[last], key=lambda name: best[last][name].seconds)
-    seconds = best[last][place].seconds
+def _trace(best: dict[int, dict[str, _BestStep]], last: int) -> Path:
+    data_centre = min(best[last], key=lambda name: best[last][name].seconds)
+    seconds = best[last][data_centre].seconds
     stages: list[PathStage] = []
     at = last
     while True:
-        step = best[at][place]
+        step = best[at][data_centre]
         if step.before is None or step.option is None:
             break
         option = step.option
@@ -184,6 +201,6 @@
                 at,
             )
         )
-        at, place = step.before
+        at, data_centre = step.before
     stages.reverse()
     return make_path(stages, seconds)
--- a/magnoliacove/routing/stages.py
+++ b/magnoliacove/routing/stages.py
@@ -1,4 +1,4 @@
-"""Engines that a request could pass through, and the path that it takes."""
+"""Candidate engines for a request, and the path that it takes."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -7,8 +7,8 @@
 from magnoliacove.wire.network import Address
 
 __all__ = [
-    "NONE_AHEAD",
-    "Ahead",
+    "NO_REQUESTS_AHEAD",
+    "RequestsAhead",
     "Path",
     "PathStage",
     "StageOption",
@@ -17,32 +17,33 @@
 
 
 @dataclass(frozen=True)
-class Ahead:
-    """Requests of other gateways that are taken to be placed already.
+class RequestsAhead:
+    """Requests of other gateways that are assumed to precede a request.
 
-    They went out since the others were last heard, so no news tells of them
-    yet.
+    The other gateways have sent them since their last heartbeats, so no load
+    report includes them yet.
 
-    :param seconds: how long ago the first of them went out.
+    :param requests: how many they are.
+    :param seconds: seconds since the first of them was sent.
     """
 
     requests: int = 0
     seconds: float = 0.0
 
 
-NONE_AHEAD = Ahead()
+NO_REQUESTS_AHEAD = RequestsAhead()
 
 
 @dataclass(frozen=True)
 class StageOption:
-    """An engine and what it could run.
+    """An engine, its layers and its free capacity.
 
     :param target: the engine's name.
-    :param layers: what it holds.
-    :param room: token-layers of memory that are free for a new request.
+    :param layers: the layers that it has loaded.
+    :param room: its free capacity for a new request, in token-layers.
     :param requests: requests that pass through it now.
-    :param slowness: 1 for usual speed, more when it is slow.
-    :param ahead: requests that are taken to be on their way to it.
+    :param slowness: factor on its usual times; above 1 when it is slow.
+    :param ahead: requests that are assumed to be on their way to it.
     """
 
     target: str
@@ -53,12 +54,15 @@
     room: float
     requests: int = 0
     slowness: float = 1.0
-    ahead: Ahead = NONE_AHEAD
+    ahead: RequestsAhead = NO_REQUESTS_AHEAD
 
 
 @dataclass(frozen=True)
 class PathStage:
-    """An engine and the layers that it runs for one request."""
+    """An engine and the layers that it runs for one request.
+
+    :param end: one past the last layer.
+    """
 
     target: str
     address: Address
@@ -71,8 +75,8 @@
 class Path:
     """The engines of one request, in order.
 
-    :param seconds: the expected time of the whole request.
-    :param crossings: how often it goes from one data centre to another.
+    :param seconds: the expected time of the whole request, in seconds.
+    :param crossings: hops from one data centre to another.
     """
 
     stages: tuple[PathStage, ...]
@@ -85,12 +89,12 @@
         return tuple(stage.target for stage in self.stages)
 
     def describe(self) -> str:
-        """Return the path in one line, for logs."""
+        """Return the path as one line for logs."""
         return " ".join(f"{s.target}:{s.first}-{s.end}" for s in self.stages)
 
 
 def make_path(stages: Sequence[PathStage], seconds: float) -> Path:
-    """Return the path of some stages, with its crossings counted."""
+    """Return the path over the stages; count its crossings."""
     crossings = sum(
         a.data_centre != b.data_centre
         for a, b in zip(stages, stages[1:], strict=False)
--- a/measure/gateway.py
+++ b/measure/gateway.py
@@ -13,7 +13,7 @@
 from magnoliacove import peers
 from magnoliacove.configuration.routes import Accelerator
 from magnoliacove.configuration.routes import ModelShape
-from magnoliacove.directory.holdings import Holding
+from magnoliacove.directory.engine_status import EngineStatus
 from magnoliacove.directory.listed import LayerRange
 from magnoliacove.limits import TargetLoad
 from magnoliacove.placement.balance import find_better
@@ -97,7 +97,7 @@
             peers.ReportedHolding(
                 name,
                 rng.random(),
-                Holding(
+                EngineStatus(
                     LayerRange(n % 72, n % 72 + 8), used=rng.uniform(0, 9e5)
                 ),
             )
--- a/measure/peering.py
+++ b/measure/peering.py
@@ -20,7 +20,7 @@
 
 from magnoliacove import peers
 from magnoliacove import platform
-from magnoliacove.directory.holdings import Holding
+from magnoliacove.directory.engine_status import EngineStatus
 from magnoliacove.directory.listed import LayerRange
 from magnoliacove.directory.listed import ListedTarget
 from magnoliacove.gateway import Gateway
@@ -109,7 +109,9 @@
         },
         suspicions=(),
         holdings=tuple(
-            peers.ReportedHolding(name, 0.1, Holding(LayerRange(n % 72, 80)))
+            peers.ReportedHolding(
+                name, 0.1, EngineStatus(LayerRange(n % 72, 80))
+            )
             for n, name in enumerate(engines)
         )
         if acting
--- a/tests/agent/test_orders.py
+++ b/tests/agent/test_orders.py
@@ -36,13 +36,13 @@
     model = engine.StandInEngine(8, checks_orders=checks)
     gate = OrderGate("t", model, store, timeline.Recorder("t"))
     paused, other = _lease(store, "paused"), _lease(store, "other")
-    assert await paused.try_take()
+    assert await paused.try_acquire()
     old_fence = paused.fence
     await gate.give(_order("paused", old_fence, "first"))
-    await other.try_take()
+    await other.try_acquire()
     await trio.sleep(10)
     assert not paused.held
-    assert await other.try_take()
+    assert await other.try_acquire()
     assert other.fence > old_fence
     if restarted:
         gate = OrderGate("t", model, store, timeline.Recorder("t"))
@@ -72,7 +72,7 @@
     async def act(lease, pauses):
         for pause in pauses:
             try:
-                await lease.try_take()
+                await lease.try_acquire()
             except Exception:
                 await trio.sleep(0.2)
             await trio.sleep(pause)
--- a/tests/directory/test_leases.py
+++ b/tests/directory/test_leases.py
@@ -24,10 +24,10 @@
     """
     store = object_api.ObjectStore()
     holder = _make(store, "a/1")
-    await holder.try_take()
+    await holder.try_acquire()
     values = set()
     for _ in range(3):
-        await holder.try_take()
+        await holder.try_acquire()
         values.add((await store.get("leases/placement")).value)
     assert len(values) == 3
 
@@ -38,15 +38,15 @@
     """
     store = object_api.ObjectStore()
     holder, other = _make(store, "a/1"), _make(store, "b/1")
-    await holder.try_take()
+    await holder.try_acquire()
     store.faults.lost_answers = 1
     with pytest.raises(errors.PlatformError):
-        await holder.try_take()
+        await holder.try_acquire()
     for _ in range(8):
         await trio.sleep(0.8)
-        assert await holder.try_take()
+        assert await holder.try_acquire()
         assert holder.held
-        assert not await other.try_take()
+        assert not await other.try_acquire()
     assert holder.fence == 1
 
 
@@ -57,10 +57,10 @@
     for sure, so nobody need wait until the lease lapses.
     """
     store = object_api.ObjectStore()
-    await _make(store, "a/1").try_take()
+    await _make(store, "a/1").try_acquire()
     again, other = _make(store, "a/2"), _make(store, "b/1")
-    assert not await other.try_take()
-    assert await again.try_take()
+    assert not await other.try_acquire()
+    assert await again.try_acquire()
     assert again.fence == 2
 
 
@@ -70,14 +70,14 @@
     """
     store = object_api.ObjectStore()
     first, second = _make(store, "a/1"), _make(store, "b/1")
-    await first.try_take()
-    await second.try_take()
+    await first.try_acquire()
+    await second.try_acquire()
     await trio.sleep(2.6)
-    assert await second.try_take()
+    assert await second.try_acquire()
     assert not first.held
-    assert not await first.try_take()
+    assert not await first.try_acquire()
     await second.release()
-    assert await first.try_take()
+    assert await first.try_acquire()
     assert first.fence == 3
 
 
@@ -97,17 +97,17 @@
     """
     store = object_api.ObjectStore()
     first, second = _make(store, "a/1"), _make(store, "b/1")
-    await first.try_take()
+    await first.try_acquire()
     copy = store.copy()
     await first.release()
-    assert await second.try_take()
+    assert await second.try_acquire()
     assert second.fence == 2
     await _restore(store, copy)
-    assert not await first.try_take()
+    assert not await first.try_acquire()
     assert second.held
-    assert await second.try_take()
+    assert await second.try_acquire()
     assert second.fence > 2
-    assert not await first.try_take()
+    assert not await first.try_acquire()
 
 
 @pytest.mark.parametrize("held_before", [False, True])
@@ -118,18 +118,18 @@
     store = object_api.ObjectStore()
     holder, other = _make(store, "a/1"), _make(store, "b/1")
     if held_before:
-        await holder.try_take()
+        await holder.try_acquire()
         await holder.release()
     copy = store.copy()
-    await holder.try_take()
+    await holder.try_acquire()
     await _restore(store, copy)
-    assert not await other.try_take()
+    assert not await other.try_acquire()
     assert holder.held
     await trio.sleep(2.4)
     assert not holder.held
-    assert not await other.try_take()
+    assert not await other.try_acquire()
     await trio.sleep(0.2)
-    assert await other.try_take()
+    assert await other.try_acquire()
     assert other.fence > 2
 
 
@@ -140,20 +140,20 @@
     It knows nothing of the holder whom the lost time had.
     """
     store = object_api.ObjectStore()
-    await _make(store, "a/1").try_take()
+    await _make(store, "a/1").try_acquire()
     copy = store.copy()
     await trio.sleep(3.0)
     holder = _make(store, "b/1")
-    await holder.try_take()
+    await holder.try_acquire()
     await trio.sleep(2.6)
-    assert await holder.try_take()
+    assert await holder.try_acquire()
     await _restore(store, copy)
     again = _make(store, "a/2")
-    assert not await again.try_take()
+    assert not await again.try_acquire()
     assert holder.held
-    assert await holder.try_take()
+    assert await holder.try_acquire()
     await trio.sleep(1.0)
-    assert not await again.try_take()
+    assert not await again.try_acquire()
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -171,7 +171,7 @@
     async def take_part(lease):
         while True:
             with contextlib.suppress(errors.PlatformError):
-                await lease.try_take()
+                await lease.try_acquire()
             await trio.sleep(rng.choice([0.4, 0.8, 0.8, 3.5]))
             if rng.random() < 0.05:
                 await lease.release()
--- a/tests/directory/test_targets.py
+++ b/tests/directory/test_targets.py
@@ -5,9 +5,9 @@
 import pytest
 
 from magnoliacove import timeline
+from magnoliacove.directory.engine_status import EngineStatus
+from magnoliacove.directory.engine_status import EngineStatuses
 from magnoliacove.directory.health import Health
-from magnoliacove.directory.holdings import Holding
-from magnoliacove.directory.holdings import Holdings
 from magnoliacove.directory.listed import LayerRange
 from magnoliacove.directory.listed import ListedTarget
 from magnoliacove.directory.listed import name_incarnation
@@ -130,14 +130,14 @@
     list is all there is.
     """
     time = _Time()
-    holdings = Holdings(time)
+    holdings = EngineStatuses(time)
     target = _target("i-1", layers=LayerRange(0, 10))
-    moving = Holding(LayerRange(0, 4), loading=True, moving=True)
+    moving = EngineStatus(LayerRange(0, 4), loading=True, moving=True)
     assert holdings.note("i-1", moving)
     assert holdings.read(target).layers == LayerRange(0, 4)
     assert holdings.list_moving() == {"i-1": LayerRange(0, 4)}
     # Older news, through a slower peer.
-    assert not holdings.note("i-1", Holding(None), age=0.5)
+    assert not holdings.note("i-1", EngineStatus(None), age=0.5)
     time.now += 2.0
     assert holdings.read(target).layers == LayerRange(0, 10)
 
@@ -155,9 +155,9 @@
     """
     targets, time = _make_list()
     health = Health(timeline.Recorder("p"), read_time=time)
-    holdings = Holdings(read_time=time)
+    holdings = EngineStatuses(read_time=time)
     targets.apply(_born(1000, layers=LayerRange(0, 20)))
-    holdings.note("i-1@1000", Holding(LayerRange(0, 20)))
+    holdings.note("i-1@1000", EngineStatus(LayerRange(0, 20)))
     health.suspect("i-1@1000", "it gives no reports")
     targets.apply(_born(2000, revision=2))
     (present,) = targets.list_service("llm")
@@ -165,7 +165,7 @@
     assert health.is_usable(present.name)
     assert holdings.read(present).layers is None
     assert targets.find("i-1@1000") is None
-    assert targets.list_former() == ["i-1@1000"]
+    assert targets.list_former_incarnations() == ["i-1@1000"]
 
 
 @pytest.mark.parametrize("late", [1, 7])
@@ -176,9 +176,9 @@
     """
     targets, _ = _make_list()
     targets.apply(_born(1000, layers=LayerRange(0, 20)))
-    assert targets.observe("i-1", 2000, directly=True)
+    assert targets.note_incarnation("i-1", 2000, directly=True)
     targets.apply(_born(1000, layers=LayerRange(0, 20), revision=late))
-    assert not targets.observe("i-1", 1000)
+    assert not targets.note_incarnation("i-1", 1000)
     (present,) = targets.list_service("llm")
     assert (present.name, present.layers) == ("i-1@2000", None)
     targets.apply(_born(2000, layers=LayerRange(5, 9), revision=8))
@@ -188,17 +188,17 @@
 def test_an_engine_whose_clock_went_back_is_believed_itself():
     targets, _ = _make_list()
     targets.apply(_born(2000))
-    assert targets.observe("i-1", 1500, directly=True)
+    assert targets.note_incarnation("i-1", 1500, directly=True)
     assert _names(targets) == ["i-1@1500"]
     targets.apply(_born(2000, revision=9))
-    assert not targets.observe("i-1", 2000)
+    assert not targets.note_incarnation("i-1", 2000)
     assert _names(targets) == ["i-1@1500"]
 
 
 def test_a_target_that_tells_no_incarnation_keeps_its_name():
     targets, _ = _make_list()
     targets.apply(_target("i-1"))
-    assert not targets.observe("i-1", 2000, directly=True)
+    assert not targets.note_incarnation("i-1", 2000, directly=True)
     assert _names(targets) == ["i-1"]
 
 
@@ -219,7 +219,7 @@
     assert targets.read_restart_age("i-1") == 3.0
     time.now += 40.0
     targets.expire()
-    assert targets.list_former() == []
+    assert targets.list_former_incarnations() == []
 
 
 def test_a_correction_keeps_what_is_given_up_excluded():
@@ -228,13 +228,13 @@
     layers that it gives up must not be used again.
     """
     time = _Time()
-    holdings = Holdings(read_time=time)
-    holdings.note("i-1", Holding(LayerRange(5, 10), loading=True))
+    holdings = EngineStatuses(read_time=time)
+    holdings.note("i-1", EngineStatus(LayerRange(5, 10), loading=True))
     time.now += 0.1
-    told = Holding(LayerRange(0, 10), loading=True)
+    told = EngineStatus(LayerRange(0, 10), loading=True)
     assert not holdings.correct("i-1", told)
     assert holdings.list_fresh()[0][2].layers == LayerRange(5, 10)
-    assert holdings.correct("i-1", Holding(LayerRange(0, 4)))
+    assert holdings.correct("i-1", EngineStatus(LayerRange(0, 4)))
     assert [item[0] for item in holdings.list_corrected()] == ["i-1"]
 
 
--- a/tests/gateway/stubs.py
+++ b/tests/gateway/stubs.py
@@ -8,8 +8,8 @@
 
 from magnoliacove import timeline
 from magnoliacove.configuration import routes
+from magnoliacove.directory.engine_status import EngineStatuses
 from magnoliacove.directory.health import Health
-from magnoliacove.directory.holdings import Holdings
 from magnoliacove.directory.listed import LayerRange
 from magnoliacove.directory.listed import ListedTarget
 from magnoliacove.directory.targets import TargetList
@@ -183,7 +183,7 @@
         self.closing = False
         self.recorder = timeline.Recorder("gateway")
         targets = TargetList(self.recorder, grace=1.8)
-        health, holdings = Health(self.recorder), Holdings()
+        health, holdings = Health(self.recorder), EngineStatuses()
         backpressure = BackpressureBook(self.recorder)
         grants = GrantBook("gateway")
         permits = Permits(backpressure, grants)
--- a/tests/gateway/test_beliefs.py
+++ b/tests/gateway/test_beliefs.py
@@ -133,4 +133,4 @@
 
 async def _restart(stage):
     await trio.sleep(0.1)
-    stage.state.targets.observe("i-2", 2000)
+    stage.state.targets.note_incarnation("i-2", 2000)
--- a/tests/gateway/test_holds.py
+++ b/tests/gateway/test_holds.py
@@ -36,8 +36,8 @@
             await stage.add(name, stubs.stay_silent, layers=(0, 80))
         hold = _make_hold(stage.state)
         drawn = []
-        draw = stage.state.candidates.draw_ahead
-        stage.state.candidates.draw_ahead = lambda service: (
+        draw = stage.state.candidates.sample_ahead
+        stage.state.candidates.sample_ahead = lambda service: (
             drawn.append(service) or draw(service)
         )
         assert hold.reserve() is not None
--- a/tests/gateway/test_peering.py
+++ b/tests/gateway/test_peering.py
@@ -6,7 +6,7 @@
 
 from magnoliacove import peers
 from magnoliacove import wire
-from magnoliacove.directory.holdings import Holding
+from magnoliacove.directory.engine_status import EngineStatus
 from magnoliacove.directory.listed import LayerRange
 from magnoliacove.gateway.peering import PeerExchange
 from magnoliacove.gateway.store import StoreFollower
@@ -157,7 +157,7 @@
         for name in names:
             first = rng.randrange(70)
             layers = LayerRange(first, first + 10)
-            held = Holding(layers, used=rng.uniform(0.0, 1e6))
+            held = EngineStatus(layers, used=rng.uniform(0.0, 1e6))
             stage.state.holdings.note(name, held, rng.random())
         told = set()
         for sequence in range(40):
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -9,7 +9,7 @@
 import pytest
 import trio
 
-from magnoliacove.directory.holdings import Holding
+from magnoliacove.directory.engine_status import EngineStatus
 from magnoliacove.directory.listed import LayerRange
 from tests.gateway import stubs
 
@@ -563,7 +563,7 @@
         await stage.add(
             "i-3", stubs.stay_silent, layers=(40, 80), accelerator="t4"
         )
-        holding = Holding(LayerRange(*kept), True, moving=True)
+        holding = EngineStatus(LayerRange(*kept), True, moving=True)
         stage.nursery.start_soon(_ask, stage)
         await trio.sleep(0.2)
         stage.state.holdings.note("i-2", holding)
--- a/tests/peers/samples.py
+++ b/tests/peers/samples.py
@@ -1,7 +1,7 @@
 """A heartbeat with something in each of its fields."""
 
 from magnoliacove import peers
-from magnoliacove.directory.holdings import Holding
+from magnoliacove.directory.engine_status import EngineStatus
 from magnoliacove.directory.listed import LayerRange
 from magnoliacove.limits import TargetLoad
 from magnoliacove.limits.backpressure import ToldLimit
@@ -29,9 +29,11 @@
         ),
         "holdings": (
             peers.ReportedHolding(
-                "i-1", 0.5, Holding(LayerRange(0, 34), True, 2.0, 10.0, True)
+                "i-1",
+                0.5,
+                EngineStatus(LayerRange(0, 34), True, 2.0, 10.0, True),
             ),
-            peers.ReportedHolding("i-3", 0.0, Holding(None)),
+            peers.ReportedHolding("i-3", 0.0, EngineStatus(None)),
         ),
         "services": {"llm": (30, 2)},
         "recent": {"llm": 6, "desk": 1},
--- a/tests/placement/test_duty.py
+++ b/tests/placement/test_duty.py
@@ -12,8 +12,8 @@
 from magnoliacove import directory
 from magnoliacove import errors
 from magnoliacove import timeline
+from magnoliacove.directory.engine_status import EngineStatuses
 from magnoliacove.directory.health import Health
-from magnoliacove.directory.holdings import Holdings
 from magnoliacove.directory.listed import LayerRange
 from magnoliacove.directory.listed import ListedTarget
 from magnoliacove.directory.targets import TargetList
@@ -169,7 +169,7 @@
             duty.DutySources(
                 targets,
                 self.healths[-1],
-                Holdings(),
+                EngineStatuses(),
                 LoadBook(),
                 self.permits[-1],
                 self.calls,
--- a/tests/routing/test_candidates.py
+++ b/tests/routing/test_candidates.py
@@ -5,9 +5,9 @@
 import trio
 
 from magnoliacove import timeline
+from magnoliacove.directory.engine_status import EngineStatus
+from magnoliacove.directory.engine_status import EngineStatuses
 from magnoliacove.directory.health import Health
-from magnoliacove.directory.holdings import Holding
-from magnoliacove.directory.holdings import Holdings
 from magnoliacove.directory.listed import LayerRange
 from magnoliacove.directory.listed import ListedTarget
 from magnoliacove.directory.targets import TargetList
@@ -28,7 +28,7 @@
     def __init__(self):
         recorder = timeline.Recorder("p")
         self.targets = TargetList(recorder, grace=1.8)
-        self.health, self.holdings = Health(recorder), Holdings()
+        self.health, self.holdings = Health(recorder), EngineStatuses()
         self.loads = LoadBook()
         self.book = BackpressureBook(recorder)
         self.grants = GrantBook("p")
@@ -75,7 +75,7 @@
     world.loads.take_others("e-2", {"i-1": TargetLoad(3, 1000.0)}, 0)
     [option] = world.candidates.list_options("llm", _SHAPE)
     assert option.room == total - 1000.0
-    world.holdings.note("i-1", Holding(LayerRange(0, 8), used=5000.0))
+    world.holdings.note("i-1", EngineStatus(LayerRange(0, 8), used=5000.0))
     [option] = world.candidates.list_options("llm", _SHAPE)
     assert option.room == total - 5000.0
 
@@ -90,7 +90,7 @@
     world.add("i-1", layers=(0, 8))
     pauses = []
     for _ in range(4):
-        world.candidates.note_trouble("i-1")
+        world.candidates.pause_engine("i-1")
         began = trio.current_time()
         while not world.list_names():
             await trio.sleep(0.05)
@@ -113,7 +113,7 @@
     world = _World()
     for name in ("d-1", "d-2", "d-3"):
         world.add(name, "desk")
-    record = world.candidates.read_record("d-1")
+    record = world.candidates.read_statistics("d-1")
     for _ in range(3):
         record.note(trio.current_time(), failed=True, seconds=0.0)
     chosen = [world.candidates.choose_target("desk", ()) for _ in range(50)]
@@ -161,12 +161,12 @@
     world.loads.take_others("e-3", {"i-2": TargetLoad(7, 1000.0)}, 0)
 
     def read_most():
-        drawn = [world.candidates.draw_ahead("llm") for _ in range(300)]
+        drawn = [world.candidates.sample_ahead("llm") for _ in range(300)]
         return max(ahead.requests for ahead in drawn)
 
     assert read_most() == 0
     world.health.suspect("i-1", "it gives no reports")
     world.health.suspect("i-2", "it leaves", leaving=True)
     assert read_most() == 30
-    led = [world.candidates.draw_displaced({"i-1"}) for _ in range(300)]
+    led = [world.candidates.sample_displaced({"i-1"}) for _ in range(300)]
     assert max(ahead.requests for ahead in led) == 30
--- a/tests/routing/test_paths.py
+++ b/tests/routing/test_paths.py
@@ -70,7 +70,9 @@
     """
     options = _make_options(drawn)
     plain = paths.find_path(options, _COSTS)
-    found = paths.find_path(options, _COSTS, None, paths.Ahead(ahead, 0.1))
+    found = paths.find_path(
+        options, _COSTS, None, paths.RequestsAhead(ahead, 0.1)
+    )
     assert (found is None) == (plain is None)
     if found is not None:
         assert _list_layers(found) == list(range(80))
@@ -88,7 +90,7 @@
 
     def choose(ahead):
         found = paths.find_path(
-            [quick, slow], _COSTS, None, paths.Ahead(ahead, 60.0)
+            [quick, slow], _COSTS, None, paths.RequestsAhead(ahead, 60.0)
         )
         return found.targets
 
@@ -108,9 +110,11 @@
     """
     shape = make_shape(prefill_chunk=512.0, steps_per_pass=4)
     costs = paths.PathCosts(shape, 772, 4, 0.05)
-    ahead = paths.Ahead(40, 0.5)
+    ahead = paths.RequestsAhead(40, 0.5)
     waiting = make_option("i-1", 0, 80, kind="t4", ahead=ahead)
-    free = make_option("i-2", 0, 80, kind="t4", ahead=paths.Ahead(0, 0.5))
+    free = make_option(
+        "i-2", 0, 80, kind="t4", ahead=paths.RequestsAhead(0, 0.5)
+    )
     late = costs.hop_seconds(waiting) - costs.hop_seconds(free)
     # A prompt takes six token steps of 13 ms and 59 ms of reading.
     assert 4.0 < late < 6.0
@@ -163,8 +167,8 @@
     ]
 
     def choose(ahead):
-        found = paths.find_detour(
-            path, {"lost"}, options, _COSTS, paths.Ahead(ahead, 60.0)
+        found = paths.find_reroute(
+            path, {"lost"}, options, _COSTS, paths.RequestsAhead(ahead, 60.0)
         )
         return found.targets
 
@@ -224,10 +228,10 @@
         make_option("i-4", 25, 42),
         make_option("i-5", 40, 60),
     ]
-    detour = paths.find_detour(path, {"i-2"}, spares, _COSTS)
+    detour = paths.find_reroute(path, {"i-2"}, spares, _COSTS)
     assert detour.targets == ("i-1", "i-4", "i-5", "i-3")
     assert _list_layers(detour) == list(range(80))
-    assert paths.find_detour(path, {"i-2"}, spares[:2], _COSTS) is None
+    assert paths.find_reroute(path, {"i-2"}, spares[:2], _COSTS) is None
 
 
 def test_why_a_request_waits_is_told():
