--- a/tests/directory/test_leases.py
+++ b/tests/directory/test_leases.py
@@ -1,4 +1,4 @@
-"""A lease through lost answers, restarts and a store that sees no change."""
+"""Leases with lost answers, restarts, pauses and a restored store."""
 
 import contextlib
 import random
@@ -12,18 +12,18 @@
 from magnoliacove.standins import object_api
 
 
-def _make(store, owner):
+def _make_lease(store, owner):
     recorder = timeline.Recorder(owner)
     return directory.Lease(store, recorder, "placement", owner, duration=2.5)
 
 
 async def test_a_renewal_changes_the_object(autojump_clock):
-    """The platform takes a write that changes nothing for no write.  An
-    observer that sees no new version would take the lease from a holder
-    that renews it all the time.
+    """The platform ignores a write that changes nothing.  An observer that
+    sees no new version would acquire the lease although its holder renews
+    it.
     """
     store = object_api.ObjectStore()
-    holder = _make(store, "a/1")
+    holder = _make_lease(store, "a/1")
     await holder.try_acquire()
     values = set()
     for _ in range(3):
@@ -33,11 +33,11 @@
 
 
 async def test_a_lost_answer_does_not_lose_the_lease(autojump_clock):
-    """A renewal takes effect but its answer is lost.  The next one meets
-    a version that the holder does not know; it is its own.
+    """A renewal takes effect but its answer is lost.  The next renewal
+    conflicts with a version that the holder itself has written.
     """
     store = object_api.ObjectStore()
-    holder, other = _make(store, "a/1"), _make(store, "b/1")
+    holder, other = _make_lease(store, "a/1"), _make_lease(store, "b/1")
     await holder.try_acquire()
     store.faults.lost_answers = 1
     with pytest.raises(errors.PlatformError):
@@ -50,26 +50,27 @@
     assert holder.fence == 1
 
 
-async def test_a_restarted_instance_takes_its_own_lease_at_once(
+async def test_restarted_instance_acquires_its_own_lease_at_once(
     autojump_clock,
 ):
-    """The holder is killed and starts again.  Its earlier process is dead
-    for sure, so nobody need wait until the lease lapses.
+    """The holder is killed and restarts.  Its former process is certainly
+    dead, so the new one need not wait until the lease expires.
     """
     store = object_api.ObjectStore()
-    await _make(store, "a/1").try_acquire()
-    again, other = _make(store, "a/2"), _make(store, "b/1")
+    await _make_lease(store, "a/1").try_acquire()
+    restarted, other = _make_lease(store, "a/2"), _make_lease(store, "b/1")
     assert not await other.try_acquire()
-    assert await again.try_acquire()
-    assert again.fence == 2
+    assert await restarted.try_acquire()
+    assert restarted.fence == 2
 
 
-async def test_one_holder_at_a_time_through_pauses(autojump_clock):
-    """The holder is paused past its lease; another takes it.  The first
-    one wakes, believes nothing, and gets the lease back only afterwards.
+async def test_one_holder_at_a_time_despite_pauses(autojump_clock):
+    """The holder is paused beyond the end of its lease, and another process
+    acquires it.  After the pause the first one must not assume that it
+    still holds the lease, and gets it back only after the release.
     """
     store = object_api.ObjectStore()
-    first, second = _make(store, "a/1"), _make(store, "b/1")
+    first, second = _make_lease(store, "a/1"), _make_lease(store, "b/1")
     await first.try_acquire()
     await second.try_acquire()
     await trio.sleep(2.6)
@@ -81,28 +82,28 @@
     assert first.fence == 3
 
 
-async def _restore(store, copy, away=0.3):
-    """Let the store be away and come back from a copy."""
+async def _restore(store, snapshot, outage_seconds=0.3):
+    """Make the store unreachable and restore it from a snapshot."""
     store.faults.outage = True
-    await trio.sleep(away)
-    store.restore(copy)
+    await trio.sleep(outage_seconds)
+    store.restore(snapshot)
     store.faults.outage = False
 
 
-async def test_a_copy_that_names_a_former_holder(autojump_clock):
-    """One process held the lease when the copy was taken; it gave it up and
-    another took it.  The store comes back from the copy: by it the lease is
-    the first one's still.  If that one took it at once, two would give
-    orders, and both under the same number.
+async def test_snapshot_that_names_a_former_holder(autojump_clock):
+    """One process holds the lease at the snapshot, then releases it, and
+    another acquires it.  In the restored store the first one is the holder
+    again.  If it acquired the lease at once, two processes would give
+    orders, and both with the same fencing token.
     """
     store = object_api.ObjectStore()
-    first, second = _make(store, "a/1"), _make(store, "b/1")
+    first, second = _make_lease(store, "a/1"), _make_lease(store, "b/1")
     await first.try_acquire()
-    copy = store.copy()
+    snapshot = store.copy()
     await first.release()
     assert await second.try_acquire()
     assert second.fence == 2
-    await _restore(store, copy)
+    await _restore(store, snapshot)
     assert not await first.try_acquire()
     assert second.held
     assert await second.try_acquire()
@@ -110,19 +111,20 @@
     assert not await first.try_acquire()
 
 
-@pytest.mark.parametrize("held_before", [False, True])
-async def test_a_copy_without_the_lease(autojump_clock, held_before):
-    """The copy is older than the lease, or it was given up just then.  The
-    holder goes on, and who finds no lease waits until one would have lapsed.
+@pytest.mark.parametrize("released_before", [False, True])
+async def test_snapshot_without_the_lease(autojump_clock, released_before):
+    """The snapshot is older than the lease, or the lease was released then.
+    The holder continues, and a process that finds no lease waits until one
+    would have expired.
     """
     store = object_api.ObjectStore()
-    holder, other = _make(store, "a/1"), _make(store, "b/1")
-    if held_before:
+    holder, other = _make_lease(store, "a/1"), _make_lease(store, "b/1")
+    if released_before:
         await holder.try_acquire()
         await holder.release()
-    copy = store.copy()
+    snapshot = store.copy()
     await holder.try_acquire()
-    await _restore(store, copy)
+    await _restore(store, snapshot)
     assert not await other.try_acquire()
     assert holder.held
     await trio.sleep(2.4)
@@ -133,42 +135,43 @@
     assert other.fence > 2
 
 
-async def test_a_process_that_started_since_does_not_trust_a_copy(
+async def test_restarted_process_does_not_trust_a_snapshot(
     autojump_clock,
 ):
-    """By the copy the lease is that of an instance which started again since.
-    It knows nothing of the holder whom the lost time had.
+    """The snapshot names an instance that has restarted since.  The restarted
+    process has no information about the holder after the snapshot, so it
+    must wait like any other process.
     """
     store = object_api.ObjectStore()
-    await _make(store, "a/1").try_acquire()
-    copy = store.copy()
+    await _make_lease(store, "a/1").try_acquire()
+    snapshot = store.copy()
     await trio.sleep(3.0)
-    holder = _make(store, "b/1")
+    holder = _make_lease(store, "b/1")
     await holder.try_acquire()
     await trio.sleep(2.6)
     assert await holder.try_acquire()
-    await _restore(store, copy)
-    again = _make(store, "a/2")
-    assert not await again.try_acquire()
+    await _restore(store, snapshot)
+    restarted = _make_lease(store, "a/2")
+    assert not await restarted.try_acquire()
     assert holder.held
     assert await holder.try_acquire()
     await trio.sleep(1.0)
-    assert not await again.try_acquire()
+    assert not await restarted.try_acquire()
 
 
 @pytest.mark.parametrize("seed", range(12))
-async def test_one_holder_at_a_time_through_copies(autojump_clock, seed):
-    """Processes take, renew, forget to renew and give up a lease, while the
-    store is away and comes back from copies, old ones twice.  Never do two
-    hold it, and each taking has a higher number than all before it.
+async def test_one_holder_at_a_time_despite_restores(autojump_clock, seed):
+    """Processes acquire, renew, fail to renew and release a lease while the
+    store is repeatedly restored from snapshots, also older ones.  Two never
+    hold it at once, and each acquisition has a higher fencing token.
     """
     rng = random.Random(seed)
     store = object_api.ObjectStore()
-    leases = [_make(store, f"{name}/1") for name in "abc"]
-    copies = [store.copy()]
+    leases = [_make_lease(store, f"{name}/1") for name in "abc"]
+    snapshots = [store.copy()]
     fences = [0]
 
-    async def take_part(lease):
+    async def use_lease(lease):
         while True:
             with contextlib.suppress(errors.PlatformError):
                 await lease.try_acquire()
@@ -176,23 +179,23 @@
             if rng.random() < 0.05:
                 await lease.release()
 
-    async def spoil():
+    async def disturb():
         while True:
             await trio.sleep(rng.uniform(0.1, 6.0))
-            copies.append(store.copy())
+            snapshots.append(store.copy())
             await trio.sleep(rng.uniform(0.1, 6.0))
-            copy = rng.choice(copies[-3:])
-            await _restore(store, copy, rng.uniform(0.1, 3.0))
+            snapshot = rng.choice(snapshots[-3:])
+            await _restore(store, snapshot, rng.uniform(0.1, 3.0))
 
     async with trio.open_nursery() as nursery:
         for lease in leases:
-            nursery.start_soon(take_part, lease)
-        nursery.start_soon(spoil)
+            nursery.start_soon(use_lease, lease)
+        nursery.start_soon(disturb)
         for _ in range(4000):
             await trio.sleep(0.05)
-            held = [lease for lease in leases if lease.held]
-            assert len(held) <= 1
-            for lease in held:
+            holding_leases = [lease for lease in leases if lease.held]
+            assert len(holding_leases) <= 1
+            for lease in holding_leases:
                 assert lease.fence >= fences[-1]
                 if lease.fence > fences[-1]:
                     fences.append(lease.fence)
--- a/tests/directory/test_targets.py
+++ b/tests/directory/test_targets.py
@@ -1,4 +1,4 @@
-"""What is believed of targets: listed, missing, suspected, holding."""
+"""State of targets: listed, missing, suspected, and loaded layers."""
 
 import math
 
@@ -38,10 +38,10 @@
     return sorted(target.name for target in targets.list_service("llm"))
 
 
-def test_what_lapsed_in_an_outage_is_kept_for_a_moment():
-    """The store is away and entries lapse.  It returns, and one of two
-    living engines is not listed yet: requests still go there.  After the
-    grace time what is still missing is gone.
+def test_entry_lapsed_in_an_outage_is_kept_for_the_grace_period():
+    """Entries lapse while the store is unreachable.  After its return one of
+    two live engines is not listed yet, but still gets requests.  After the
+    grace period it is removed if it is still missing.
     """
     targets, time = _make_list()
     both = [_target("i-1"), _target("i-2")]
@@ -56,7 +56,7 @@
     assert _names(targets) == ["i-1"]
 
 
-def test_an_entry_that_comes_back_stays():
+def test_reappearing_entry_is_kept():
     targets, time = _make_list()
     targets.replace([_target("i-1")], 5, after_outage=True)
     targets.replace([], 6, after_outage=True)
@@ -67,16 +67,16 @@
     assert _names(targets) == ["i-1"]
 
 
-def test_without_an_outage_what_is_not_listed_is_gone():
+def test_unlisted_target_is_removed_without_an_outage():
     targets, _ = _make_list()
     targets.replace([_target("i-1")], 5, after_outage=True)
     targets.replace([], 6, after_outage=False)
     assert _names(targets) == []
 
 
-def test_old_news_changes_nothing():
-    """An older listing, or an older entry, comes after a newer one: an
-    engine that drains must not look as if it took work again.
+def test_outdated_updates_are_ignored():
+    """An older listing or entry arrives after a newer one.  A draining engine
+    must not appear to accept work again.
     """
     targets, _ = _make_list()
     targets.replace([_target("i-1", revision=4)], 5, after_outage=False)
@@ -87,7 +87,7 @@
     assert _names(targets) == []
 
 
-def test_a_suspicion_ends_by_itself_and_grows_when_it_returns():
+def test_suspicion_expires_and_lasts_longer_when_repeated():
     time = _Time()
     health = Health(timeline.Recorder("p"), time)
     health.suspect("i-1", "no report")
@@ -105,9 +105,9 @@
     assert health.is_usable("i-1")
 
 
-def test_an_old_suspicion_of_a_peer_starts_none():
-    """A peer's heartbeat names a suspicion that has ended here already; it
-    must not go round between entries for good.
+def test_old_suspicion_of_a_peer_is_ignored():
+    """A peer's heartbeat contains a suspicion that has already expired here.
+    It must not circulate between gateways forever.
     """
     time = _Time()
     health = Health(timeline.Recorder("p"), time)
@@ -115,7 +115,7 @@
     assert health.is_usable("i-1")
 
 
-def test_an_engine_that_says_that_it_leaves_is_left_alone_longer():
+def test_leaving_engine_is_suspected_longer():
     time = _Time()
     health = Health(timeline.Recorder("p"), time)
     health.suspect("i-1", "refuses")
@@ -124,97 +124,99 @@
     assert health.find("i-1").leaving
 
 
-def test_reports_go_before_the_list_while_they_are_fresh():
-    """The list is late: an engine that was told to move still stands in
-    it with its old layers.  The report says more; once reports stop, the
-    list is all there is.
+def test_recent_reports_take_precedence_over_the_list():
+    """The list lags: an engine that was ordered other layers is still listed
+    with its old layers.  Its report is newer; the list is used again when
+    reports stop.
     """
     time = _Time()
-    holdings = EngineStatuses(time)
+    statuses = EngineStatuses(time)
     target = _target("i-1", layers=LayerRange(0, 10))
     moving = EngineStatus(LayerRange(0, 4), loading=True, moving=True)
-    assert holdings.note("i-1", moving)
-    assert holdings.read(target).layers == LayerRange(0, 4)
-    assert holdings.list_moving() == {"i-1": LayerRange(0, 4)}
-    # Older news, through a slower peer.
-    assert not holdings.note("i-1", EngineStatus(None), age=0.5)
+    assert statuses.note("i-1", moving)
+    assert statuses.read(target).layers == LayerRange(0, 4)
+    assert statuses.list_moving() == {"i-1": LayerRange(0, 4)}
+    # An older report through a slower peer.
+    assert not statuses.note("i-1", EngineStatus(None), age=0.5)
     time.now += 2.0
-    assert holdings.read(target).layers == LayerRange(0, 10)
+    assert statuses.read(target).layers == LayerRange(0, 10)
 
 
-def _born(incarnation, **changes):
+def _make_incarnation(incarnation, **changes):
     name = name_incarnation("i-1", incarnation)
     return _target(name, incarnation=incarnation, **changes)
 
 
-def test_nothing_believed_of_a_former_incarnation_counts_for_the_next():
-    """An engine crashes and is back a second later under its entry's name,
-    empty.  It was suspected, and was known to hold layers; requests that
-    went by that were refused, and its own work waited for the end of the
-    suspicion.
+def test_state_of_a_former_incarnation_does_not_apply_to_the_next():
+    """An engine crashes and restarts a second later under the same entry,
+    without layers.  Its former incarnation was suspected and had layers.
+    Without separate state, requests for these layers were refused, and the
+    engine got no work until the suspicion ended.
     """
     targets, time = _make_list()
     health = Health(timeline.Recorder("p"), read_time=time)
-    holdings = EngineStatuses(read_time=time)
-    targets.apply(_born(1000, layers=LayerRange(0, 20)))
-    holdings.note("i-1@1000", EngineStatus(LayerRange(0, 20)))
+    statuses = EngineStatuses(read_time=time)
+    targets.apply(_make_incarnation(1000, layers=LayerRange(0, 20)))
+    statuses.note("i-1@1000", EngineStatus(LayerRange(0, 20)))
     health.suspect("i-1@1000", "it gives no reports")
-    targets.apply(_born(2000, revision=2))
+    targets.apply(_make_incarnation(2000, revision=2))
     (present,) = targets.list_service("llm")
     assert present.entry == "i-1"
     assert health.is_usable(present.name)
-    assert holdings.read(present).layers is None
+    assert statuses.read(present).layers is None
     assert targets.find("i-1@1000") is None
     assert targets.list_former_incarnations() == ["i-1@1000"]
 
 
 @pytest.mark.parametrize("late", [1, 7])
-def test_late_news_of_a_former_incarnation_changes_nothing(late):
-    """An engine starts again and says so in its report.  Its entry, written
-    before the crash, is read after that; whatever its revision, the engine
-    must not be taken for what it was.
+def test_late_update_of_a_former_incarnation_is_ignored(late):
+    """An engine restarts and reports it.  Its entry from before the crash is
+    read afterwards; whatever its revision, it must not bring back the
+    former incarnation.
     """
     targets, _ = _make_list()
-    targets.apply(_born(1000, layers=LayerRange(0, 20)))
+    targets.apply(_make_incarnation(1000, layers=LayerRange(0, 20)))
     assert targets.note_incarnation("i-1", 2000, directly=True)
-    targets.apply(_born(1000, layers=LayerRange(0, 20), revision=late))
+    targets.apply(
+        _make_incarnation(1000, layers=LayerRange(0, 20), revision=late)
+    )
     assert not targets.note_incarnation("i-1", 1000)
     (present,) = targets.list_service("llm")
     assert (present.name, present.layers) == ("i-1@2000", None)
-    targets.apply(_born(2000, layers=LayerRange(5, 9), revision=8))
+    targets.apply(_make_incarnation(2000, layers=LayerRange(5, 9), revision=8))
     assert targets.find("i-1@2000").layers == LayerRange(5, 9)
 
 
-def test_an_engine_whose_clock_went_back_is_believed_itself():
+def test_own_report_counts_after_a_clock_step_backwards():
     targets, _ = _make_list()
-    targets.apply(_born(2000))
+    targets.apply(_make_incarnation(2000))
     assert targets.note_incarnation("i-1", 1500, directly=True)
     assert _names(targets) == ["i-1@1500"]
-    targets.apply(_born(2000, revision=9))
+    targets.apply(_make_incarnation(2000, revision=9))
     assert not targets.note_incarnation("i-1", 2000)
     assert _names(targets) == ["i-1@1500"]
 
 
-def test_a_target_that_tells_no_incarnation_keeps_its_name():
+def test_target_without_incarnation_keeps_its_name():
     targets, _ = _make_list()
     targets.apply(_target("i-1"))
     assert not targets.note_incarnation("i-1", 2000, directly=True)
     assert _names(targets) == ["i-1"]
 
 
-def test_the_removal_of_an_entry_removes_its_present_incarnation():
+def test_removed_entry_removes_its_present_incarnation():
     targets, _ = _make_list()
-    targets.apply(_born(1000))
-    targets.apply(_born(2000, revision=2))
+    targets.apply(_make_incarnation(1000))
+    targets.apply(_make_incarnation(2000, revision=2))
     targets.remove("i-1", 3)
     assert targets.list_all() == []
 
 
-def test_a_restart_is_remembered_for_a_while():
+def test_restart_is_remembered_for_a_limited_time():
     targets, time = _make_list()
-    targets.apply(_born(1000))
+    targets.apply(_make_incarnation(1000))
     assert targets.read_restart_age("i-1") == math.inf
-    targets.apply(_born(2000, revision=2))
+    targets.apply(_make_incarnation(2000, revision=2))
     time.now += 3.0
     assert targets.read_restart_age("i-1") == 3.0
     time.now += 40.0
@@ -222,27 +224,27 @@
     assert targets.list_former_incarnations() == []
 
 
-def test_a_correction_keeps_what_is_given_up_excluded():
-    """An engine gives layers up for a gap elsewhere; its report still names
-    all that it held.  A request that it refused asks for the report: the
-    layers that it gives up must not be used again.
+def test_correction_keeps_excluding_layers_that_are_given_up():
+    """An engine gives up layers to close a gap; its report still names all of
+    its former layers.  A refused request triggers a new report: the layers
+    that the engine gives up must not be used again.
     """
     time = _Time()
-    holdings = EngineStatuses(read_time=time)
-    holdings.note("i-1", EngineStatus(LayerRange(5, 10), loading=True))
+    statuses = EngineStatuses(read_time=time)
+    statuses.note("i-1", EngineStatus(LayerRange(5, 10), loading=True))
     time.now += 0.1
-    told = EngineStatus(LayerRange(0, 10), loading=True)
-    assert not holdings.correct("i-1", told)
-    assert holdings.list_fresh()[0][2].layers == LayerRange(5, 10)
-    assert holdings.correct("i-1", EngineStatus(LayerRange(0, 4)))
-    assert [item[0] for item in holdings.list_corrected()] == ["i-1"]
-
-
-def test_an_entry_that_does_not_come_back_is_gone_in_time():
-    """The store turns some gateways away and serves the others; an engine
-    leaves, and its entry is removed.  That might be a lapse, so it is kept
-    for the grace time; it was looked at each second only, and a booking
-    reached the engine 2.25 s after it had left, where 2 s are allowed.
+    reported = EngineStatus(LayerRange(0, 10), loading=True)
+    assert not statuses.correct("i-1", reported)
+    assert statuses.list_fresh()[0][2].layers == LayerRange(5, 10)
+    assert statuses.correct("i-1", EngineStatus(LayerRange(0, 4)))
+    assert [item[0] for item in statuses.list_corrected()] == ["i-1"]
+
+
+def test_missing_target_expires_on_time():
+    """The store rejects some gateways and serves others, and the entry of an
+    engine that left is removed.  It might have lapsed, so the target is kept
+    for the grace period.  With a check only every second, a booking reached
+    the engine 2.25 s after it left, where 2 s are allowed.
     """
     targets, time = _make_list()
     targets.apply(_target("i-1"))
@@ -255,12 +257,12 @@
     assert targets.find("i-1") is None
 
 
-def test_a_first_list_takes_few_lines_and_names_every_target():
-    """On-call looks for an engine's first mention, on a fleet that starts.
+def test_first_list_is_logged_in_few_lines_with_every_target():
+    """Operators search the log of a starting fleet for an engine's first line.
 
     A line for each of 135 targets, in each of 68 gateways, left no room for
-    ordinary lines of the first requests.  Lines stay short enough to be
-    written as a whole.
+    log lines of the first requests.  Lines must also stay short enough to be
+    written atomically.
     """
     recorder = timeline.Recorder("p")
     targets = TargetList(recorder, grace=1.8, read_time=_Time())
@@ -274,7 +276,7 @@
         assert line.detail["targets"][name] == "llm 10.0.0.1:80"
 
 
-def test_a_target_that_comes_alone_is_told_before_it_is_used():
+def test_single_new_target_is_logged_before_use():
     recorder = timeline.Recorder("p")
     targets = TargetList(recorder, grace=1.8, read_time=_Time())
     targets.apply(_target("i-1"))
--- a/tests/directory/test_view.py
+++ b/tests/directory/test_view.py
@@ -1,4 +1,4 @@
-"""What a process knows only moves forward, in any order of news."""
+"""The view of a process never moves backwards, in any order of updates."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -21,20 +21,20 @@
 
 
 _DOCUMENTS, _CHANGES = _make_history(12)
-_NEWS = st.lists(st.tuples(st.booleans(), st.integers(0, 11)), max_size=40)
+_UPDATES = st.lists(st.tuples(st.booleans(), st.integers(0, 11)), max_size=40)
 
 
-@given(_NEWS)
-def test_configuration_never_reverts(news):
-    """Documents and changes come late, twice and out of order.
+@given(_UPDATES)
+def test_configuration_version_never_decreases(updates):
+    """Documents and changes arrive late, twice and out of order.
 
-    The version in force never goes back, and each version's document is
+    The active version never decreases, and the document of each version is
     the one that was accepted.
     """
     view = directory.View(timeline.Recorder("p"))
     before = 0
-    for whole, number in news:
-        if whole:
+    for is_document, number in updates:
+        if is_document:
             view.adopt_document(_DOCUMENTS[number], "a peer")
         else:
             view.adopt_change(_CHANGES[number], "a peer")
@@ -64,20 +64,20 @@
 
 
 @given(_ENTRIES, st.randoms())
-def test_directory_is_the_same_in_any_order(entries, rng):
+def test_directory_does_not_depend_on_the_order(entries, rng):
     views = []
     for _ in range(2):
         view = directory.View(timeline.Recorder("p"))
-        mixed = [*entries, *entries]
-        rng.shuffle(mixed)
-        for entry in mixed:
+        shuffled = [*entries, *entries]
+        rng.shuffle(shuffled)
+        for entry in shuffled:
             view.adopt_entries([entry])
         views.append(sorted(map(repr, view.list_entries())))
     assert views[0] == views[1]
 
 
-def test_forked_history_is_kept_out():
-    """A peer has another document of the version in force here."""
+def test_forked_history_is_rejected():
+    """A peer has a different document with the version that is active here."""
     view = directory.View(timeline.Recorder("p"))
     view.adopt_document(_DOCUMENTS[1], "the store")
     put = configuration.Put(configuration.ClientAccount("other"))
--- a/tests/routing/test_candidates.py
+++ b/tests/routing/test_candidates.py
@@ -1,4 +1,4 @@
-"""Who could serve a request: room, refusals, failures, the pipe."""
+"""Candidates for a request: capacity, refusals, failures, link limits."""
 
 import random
 
@@ -63,11 +63,11 @@
         return sorted(option.target for option in options)
 
 
-async def test_room_is_what_is_reserved_or_used_whichever_is_more(
+async def test_capacity_counts_the_larger_of_reserved_and_used_memory(
     autojump_clock,
 ):
-    """An entry died, and its streams still hold memory that no living
-    entry has reserved.  The engine's report shows it.
+    """A gateway crashes, and its streams still use memory that no living
+    gateway has reserved.  Only the engine's report includes this memory.
     """
     world = _World()
     world.add("i-1", layers=(0, 8))
@@ -80,11 +80,12 @@
     assert option.room == total - 5000.0
 
 
-async def test_an_engine_that_refuses_is_left_alone_longer_and_longer(
+async def test_pause_of_a_refusing_engine_doubles(
     autojump_clock,
 ):
-    """The store is away and an engine drains unseen: each request that is
-    sent there is refused.  It is tried less and less.
+    """The store is unreachable, so the gateway gets no update that an engine
+    drains, and each request sent there is refused.  Each pause is twice as
+    long as the one before.
     """
     world = _World()
     world.add("i-1", layers=(0, 8))
@@ -98,7 +99,7 @@
     assert pauses == [0.3, 0.6, 1.2, 2.4]
 
 
-async def test_who_is_suspected_or_draining_is_no_candidate(autojump_clock):
+async def test_suspected_engine_is_no_candidate(autojump_clock):
     world = _World()
     for name in ("i-1", "i-2"):
         world.add(name, layers=(0, 8))
@@ -106,16 +107,16 @@
     assert world.list_names() == ["i-2"]
 
 
-async def test_a_grey_target_gets_less(autojump_clock):
-    """One of three targets fails half of its requests while its health
-    check is good.  After its failures the others are preferred.
+async def test_partially_failing_target_is_avoided(autojump_clock):
+    """One of three targets fails half of its requests although its health
+    check passes.  Recent failures make the others preferred.
     """
     world = _World()
     for name in ("d-1", "d-2", "d-3"):
         world.add(name, "desk")
-    record = world.candidates.read_statistics("d-1")
+    statistics = world.candidates.read_statistics("d-1")
     for _ in range(3):
-        record.note(trio.current_time(), failed=True, seconds=0.0)
+        statistics.note(trio.current_time(), failed=True, seconds=0.0)
     chosen = [world.candidates.choose_target("desk", ()) for _ in range(50)]
     assert all(target.name != "d-1" for target in chosen)
     await trio.sleep(60.0)
@@ -123,9 +124,10 @@
     assert any(target.name == "d-1" for target in chosen)
 
 
-async def test_the_last_resort_is_a_suspected_target(autojump_clock):
-    """All targets of a service are suspected.  One is tried all the same:
-    a refusal would be certain, the suspicion is not.
+async def test_suspected_target_is_the_last_resort(autojump_clock):
+    """All targets of a service are suspected.  One is tried nevertheless:
+    without an attempt the request fails for certain, and the suspicion may
+    be wrong.
     """
     world = _World()
     world.add("d-1", "desk")
@@ -134,25 +136,25 @@
     assert world.candidates.choose_target("desk", ["d-1"]) is None
 
 
-async def test_the_pipe_between_data_centres_is_not_overfilled(
+async def test_hops_between_data_centres_are_limited(
     autojump_clock,
 ):
     world = _World()
-    most = world.candidates.count_crossings(_SHAPE)
-    # A token of 59,000 bytes; 946 of them in about 3 s for each stream.
-    assert 40 < most < 70
-    world.loads.take_others("e-2", {}, int(most) - 1)
+    limit = world.candidates.count_crossings(_SHAPE)
+    # A token has 59,000 bytes; a stream sends 946 of them in about 3 s.
+    assert 40 < limit < 70
+    world.loads.take_others("e-2", {}, int(limit) - 1)
     assert world.candidates.may_cross(_SHAPE)
     world.loads.take_others("e-3", {}, 2)
     assert not world.candidates.may_cross(_SHAPE)
 
 
-async def test_streams_of_a_lost_engine_go_before_a_new_one():
-    """Others' streams pass through an engine that is found lost.
+async def test_streams_of_a_failed_engine_count_as_requests_ahead():
+    """Streams of other gateways pass through an engine that fails.
 
-    Their gateways send them elsewhere before any news of that; a request
-    that did not reckon with them would follow them to the same engine.  One
-    that only leaves keeps its streams.
+    Their gateways reroute them before any heartbeat reports it.  A request
+    that does not account for them would follow them to the same engine.  An
+    engine that only leaves keeps its streams.
     """
     world = _World()
     world.add("i-1", layers=(0, 80))
@@ -160,13 +162,13 @@
     world.loads.take_others("e-2", {"i-1": TargetLoad(30, 1000.0)}, 0)
     world.loads.take_others("e-3", {"i-2": TargetLoad(7, 1000.0)}, 0)
 
-    def read_most():
-        drawn = [world.candidates.sample_ahead("llm") for _ in range(300)]
-        return max(ahead.requests for ahead in drawn)
+    def read_maximum():
+        sampled = [world.candidates.sample_ahead("llm") for _ in range(300)]
+        return max(ahead.requests for ahead in sampled)
 
-    assert read_most() == 0
+    assert read_maximum() == 0
     world.health.suspect("i-1", "it gives no reports")
     world.health.suspect("i-2", "it leaves", leaving=True)
-    assert read_most() == 30
-    led = [world.candidates.sample_displaced({"i-1"}) for _ in range(300)]
-    assert max(ahead.requests for ahead in led) == 30
+    assert read_maximum() == 30
+    rerouted = [world.candidates.sample_displaced({"i-1"}) for _ in range(300)]
+    assert max(ahead.requests for ahead in rerouted) == 30
--- a/tests/routing/test_chains.py
+++ b/tests/routing/test_chains.py
@@ -1,4 +1,4 @@
-"""Chains cover all layers once, in order, and avoid what is slow."""
+"""Chains cover all layers once, in order, and avoid slow links."""
 
 import random
 
@@ -53,10 +53,12 @@
     if chain is None:
         assert not _can_cover(ranges)
         return
-    held = {o.target: (o.first_layer, o.end_layer) for o in options}
+    ranges_by_target = {
+        o.target: (o.first_layer, o.end_layer) for o in options
+    }
     at = 0
     for stage in chain:
-        first, end = held[stage.target]
+        first, end = ranges_by_target[stage.target]
         assert stage.first_layer == at
         assert first <= stage.first_layer < stage.end_layer <= end
         at = stage.end_layer
@@ -65,30 +67,30 @@
     assert len(names) == len(set(names))
 
 
-def _teach(estimate, fixed, slope):
+def _report_steps(estimate, fixed, slope):
     for running in (1, 4, 8, 16):
         micros = int((fixed + slope * running) * 1e6)
         estimate.note_report(messages.Load(running, 0, micros))
     estimate.note_report(messages.Load(0, 0, int(fixed * 1e6)))
 
 
-def test_engine_line_is_learned():
+def test_step_time_line_is_estimated():
     estimate = routing.TargetEstimate()
-    _teach(estimate, 0.02, 0.001)
+    _report_steps(estimate, 0.02, 0.001)
     fixed, slope = estimate.line
     assert abs(fixed - 0.02) < 0.002
     assert abs(slope - 0.001) < 0.0002
 
 
 def test_slow_link_is_avoided():
-    """One link is a hundred times slower; chains around it are chosen."""
+    """One link is a hundred times slower; chains avoid it."""
     options = [
         routing.StageOption(name, first, first + 6)
         for name, first in (("a1", 0), ("a2", 0), ("b1", 6), ("b2", 6))
     ]
     estimates = routing.Estimates("entry", lambda: 0.0)
     for name in ("a1", "a2", "b1", "b2"):
-        _teach(estimates.target(name), 0.01, 0.0)
+        _report_steps(estimates.target(name), 0.01, 0.0)
     for _ in range(50):
         for names in (("a1", "b1"), ("a1", "b2"), ("a2", "b1"), ("a2", "b2")):
             slow = 0.1 if names == ("a1", "b1") else 0.001
@@ -99,16 +101,16 @@
     assert ("a1", "b1") not in names
 
 
-def test_own_streams_count_before_the_next_report():
-    """Every entry sees the same old report of an idle target.
+def test_own_streams_count_between_reports():
+    """Every entry has the same outdated report of an idle target.
 
-    Counting what it sent since keeps one entry from sending everything
-    there until the next report.
+    An entry must count the streams that it started since the report, or it
+    sends all of them to that target until the next report.
     """
     estimates = routing.Estimates("entry", lambda: 0.0)
     options = [routing.StageOption(f"t{n}", 0, 12) for n in range(3)]
     for option in options:
-        _teach(estimates.target(option.target), 0.01, 0.001)
+        _report_steps(estimates.target(option.target), 0.01, 0.001)
     chooser = routing.ExpectedDelay(rng=random.Random(1))
     counts = dict.fromkeys(("t0", "t1", "t2"), 0)
     for _ in range(30):
--- a/tests/routing/test_herd.py
+++ b/tests/routing/test_herd.py
@@ -1,9 +1,9 @@
-"""Many gateways that choose by the same old news do not all choose alike.
+"""Gateways with the same outdated load reports do not all choose alike.
 
-The load: 68 gateways before 130 engines in five data centres, 150 requests a
-second, heartbeats of each gateway every 0.8 s.  What is asked for is an
-engine's share of a second's requests, and how many of them meet an engine
-that others have filled, which would refuse or preempt them.
+The load: 68 gateways with 130 engines in five data centres, 150 requests per
+second, a heartbeat of each gateway every 0.8 s.  The tests measure the share
+of a second's requests that one engine gets, and how many of them reach an
+engine that others have filled, which would refuse or preempt them.
 """
 
 import statistics
@@ -18,50 +18,55 @@
 
 @pytest.fixture(scope="module")
 def fresh():
-    """Return what comes of taking the news for the present."""
+    """Return the result of taking load reports as current."""
     return herd.play(_LARGE, herd.choose_as_if_fresh, seed=1)
 
 
 @pytest.fixture(scope="module")
-def ours():
-    """Return what comes of reckoning with what is unheard, three times."""
+def estimated():
+    """Return three results of estimating the unreported requests."""
     return [
         herd.play(_LARGE, herd.choose_after_unheard, seed)
         for seed in (1, 2, 3)
     ]
 
 
-def test_a_quick_engine_is_not_flooded(fresh, ours):
-    """First events come after 0.7 to 1.1 s, with a hundred idle engines.
+def test_fastest_engine_is_not_overloaded(fresh, estimated):
+    """First events take 0.7 to 1.1 s although a hundred engines are idle.
 
-    All gateways see the same engine as the quickest, send it all requests of
-    almost a second, and then, when they hear of each other, all turn to the
-    next one.  Nine in ten of a second's requests began at the same engine,
-    and one in five met one without room.
+    All gateways consider the same engine the fastest, send it all requests of
+    almost a second, and when their heartbeats arrive all switch to the next
+    one.  Nine in ten requests of a second began at the same engine, and one
+    in five reached an engine without capacity.
     """
-    assert max(one.first_part for one in ours) <= 0.5 < 0.8 < fresh.first_part
-    overfilled = statistics.mean(one.overfilled for one in ours)
+    assert (
+        max(result.first_part for result in estimated)
+        <= 0.5
+        < 0.8
+        < fresh.first_part
+    )
+    overfilled = statistics.mean(result.overfilled for result in estimated)
     assert overfilled <= 0.08 < 0.15 < fresh.overfilled
 
 
-def test_streams_of_lost_engines_do_not_fill_the_next_one(fresh, ours):
-    """Streams that were led away from lost engines are refused at once.
+def test_streams_of_failed_engines_do_not_fill_the_next_one(fresh, estimated):
+    """Streams that are rerouted around failed engines are refused at once.
 
-    Ten engines are lost together.  All gateways know it at the same moment,
-    and each leads its own streams to the same next engine, which is full
-    before anybody hears of it: half of them found no room, each refusal cost
-    one of the repeats that all share, and those ran out.
+    Ten engines fail together.  All gateways detect it simultaneously and
+    reroute their streams to the same engine, which is full before any
+    heartbeat reports it.  Half of the streams found no capacity, each
+    refusal used one retry of the shared budget, and the budget ran out.
     """
-    worst = max(one.led_overfilled for one in ours)
+    worst = max(result.led_overfilled for result in estimated)
     assert worst <= 0.1 < 0.4 < fresh.led_overfilled
 
 
-def test_few_gateways_lose_nothing_by_it():
-    """Five gateways hear of each other after 0.15 s: hardly anything is new.
+def test_estimate_costs_few_gateways_nothing():
+    """Five gateways exchange heartbeats every 0.15 s, so little is unreported.
 
-    Requests must not be sent to slower engines for fear of others.
+    Requests must not go to slower engines because of few other requests.
     """
     fresh = herd.play(_SMALL, herd.choose_as_if_fresh, seed=1)
-    ours = herd.play(_SMALL, herd.choose_after_unheard, seed=1)
-    assert ours.overfilled <= fresh.overfilled
-    assert ours.mean_seconds <= 1.05 * fresh.mean_seconds
+    estimated = herd.play(_SMALL, herd.choose_after_unheard, seed=1)
+    assert estimated.overfilled <= fresh.overfilled
+    assert estimated.mean_seconds <= 1.05 * fresh.mean_seconds
--- a/tests/routing/test_paths.py
+++ b/tests/routing/test_paths.py
@@ -1,4 +1,4 @@
-"""A path runs every layer once and in order, with room on each engine."""
+"""A path runs each layer once, in order, with capacity on each engine."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -28,8 +28,8 @@
 )
 
 
-def _make_options(drawn):
-    """Return the engines that hypothesis drew."""
+def _make_options(sampled):
+    """Return the engines that hypothesis generated."""
     return [
         make_option(
             f"i-{n}",
@@ -39,18 +39,18 @@
             kind=kind,
             room=room,
         )
-        for n, (first, count, place, kind, room) in enumerate(drawn)
+        for n, (first, count, place, kind, room) in enumerate(sampled)
     ]
 
 
 @given(_OPTIONS)
-def test_layers_run_once_in_order_on_engines_with_room(drawn):
-    """Engines hold any ranges, in any data centre, with any room left.
+def test_layers_run_once_in_order_on_engines_with_room(sampled):
+    """Engines have any ranges, in any data centre, with any free capacity.
 
-    Whatever is found runs each layer once and in order, names no engine
-    twice, and takes no more memory of one than it has.
+    Each path runs every layer once and in order, names no engine twice, and
+    uses no more memory of an engine than is free.
     """
-    options = {option.target: option for option in _make_options(drawn)}
+    options = {option.target: option for option in _make_options(sampled)}
     path = paths.find_path(list(options.values()), _COSTS)
     if path is None:
         return
@@ -63,12 +63,13 @@
 
 
 @given(_OPTIONS, st.integers(0, 60))
-def test_requests_ahead_never_cost_a_path(drawn, ahead):
-    """Others may have taken all the room there is, or none of it.
+def test_requests_ahead_never_prevent_a_path(sampled, ahead):
+    """Other requests may have taken all of the capacity or none of it.
 
-    That is a guess, so whoever could have been sent without it is sent.
+    Their number is an estimate, so it must not prevent a path that exists
+    without it.
     """
-    options = _make_options(drawn)
+    options = _make_options(sampled)
     plain = paths.find_path(options, _COSTS)
     found = paths.find_path(
         options, _COSTS, None, paths.RequestsAhead(ahead, 0.1)
@@ -79,9 +80,9 @@
 
 
 def test_requests_ahead_take_the_quickest_path_first():
-    """Two data centres; the quicker one has room for five requests more.
+    """Of two data centres, the faster one has capacity for five requests.
 
-    Who has four before it goes there, who has five goes to the other one.
+    A request with four ahead goes there, one with five ahead to the other.
     """
     quick = make_option(
         "quick", 0, 80, place="a", kind="h100", room=5.5 * 946 * 80
@@ -102,11 +103,10 @@
     ]
 
 
-def test_prompts_ahead_are_waited_for():
-    """Both paths have room; forty prompts are on their way to each.
+def test_prompts_ahead_add_a_delay():
+    """Both engines have capacity; forty prompts are on their way to one.
 
-    The slower engine reads them for seconds, so a request goes to the one
-    that is through sooner, though it takes longer for an answer.
+    They occupy it for seconds, so a request goes to the other engine.
     """
     shape = make_shape(prefill_chunk=512.0, steps_per_pass=4)
     costs = paths.PathCosts(shape, 772, 4, 0.05)
@@ -116,19 +116,19 @@
         "i-2", 0, 80, kind="t4", ahead=paths.RequestsAhead(0, 0.5)
     )
     late = costs.hop_seconds(waiting) - costs.hop_seconds(free)
-    # A prompt takes six token steps of 13 ms and 59 ms of reading.
+    # A prompt takes six token steps of 13 ms and 59 ms of prefill.
     assert 4.0 < late < 6.0
     assert paths.find_path([waiting, free], costs).targets == ("i-2",)
 
 
 @given(_OPTIONS)
-def test_a_needless_engine_changes_nothing(drawn):
-    """An engine is left out of the search that another one stands in for.
+def test_dominated_engines_do_not_change_the_time(sampled):
+    """The search omits engines that another engine dominates.
 
-    Each engine gets a twin that is as quick and holds a part of its layers;
-    the quickest path takes as long as without the twins.
+    Engines get a slower twin with a part of their layers; the fastest path
+    must not take longer than without the twins.
     """
-    options = _make_options(drawn)
+    options = _make_options(sampled)
     twins = [
         make_option(
             f"twin-{o.target}",
@@ -147,11 +147,11 @@
         assert found.seconds <= plain.seconds + 1e-9
 
 
-def test_others_streams_are_led_around_first():
-    """Twenty streams pass a lost engine; two others could take its part.
+def test_streams_of_others_are_rerouted_first():
+    """Twenty streams pass through a failed engine; two could replace it.
 
-    The one that is quicker has room for ten.  Each gateway is told of the
-    loss at the same moment; who has ten before it takes the other engine.
+    The faster one has capacity for ten.  All gateways detect the failure
+    simultaneously; a stream with more than that ahead takes the other one.
     """
     path = paths.find_path(
         [
@@ -176,9 +176,9 @@
     assert choose(20) == ("first", "far")
 
 
-def test_a_data_centre_of_its_own_goes_before_the_pipe():
-    """The pipe between data centres is shared by all, so a slower path
-    inside one is taken as long as there is one.
+def test_path_inside_a_data_centre_is_preferred():
+    """All gateways share the link between data centres, so a slower path
+    inside one data centre is preferred if there is one.
     """
     options = [
         make_option("i-1", 0, 40, place="a", kind="h100"),
@@ -193,7 +193,7 @@
     assert path.crossings == 1
 
 
-def test_the_quicker_and_emptier_engine_is_taken():
+def test_faster_and_less_loaded_engine_is_chosen():
     shared = make_option("i-1", 0, 40, kind="h100")
     busy = make_option("i-2", 40, 80, kind="a100s", requests=900)
     idle = make_option("i-3", 40, 80, kind="a100s")
@@ -202,7 +202,7 @@
     assert path.targets == ("i-1", "i-3")
 
 
-def test_only_engines_that_may_be_first_begin_a_path():
+def test_path_begins_at_a_permitted_first_engine():
     options = [
         make_option("i-1", 0, 80, kind="h100"),
         make_option("i-2", 0, 80, kind="l4"),
@@ -212,10 +212,10 @@
     assert paths.find_path(options, _COSTS, frozenset(["i-9"])) is None
 
 
-def test_a_detour_keeps_what_still_works():
-    """An engine in the middle is lost.  The others keep what they hold of
-    the request, so only the lost part goes elsewhere, and to no engine
-    that the path has already.
+def test_reroute_keeps_working_engines():
+    """An engine in the middle of a path fails.  The others keep their state
+    of the request, so only the failed part is replaced, and only by engines
+    that are not yet in the path.
     """
     options = [
         make_option("i-1", 0, 30, kind="h100"),
@@ -228,22 +228,22 @@
         make_option("i-4", 25, 42),
         make_option("i-5", 40, 60),
     ]
-    detour = paths.find_reroute(path, {"i-2"}, spares, _COSTS)
-    assert detour.targets == ("i-1", "i-4", "i-5", "i-3")
-    assert _list_layers(detour) == list(range(80))
+    rerouted = paths.find_reroute(path, {"i-2"}, spares, _COSTS)
+    assert rerouted.targets == ("i-1", "i-4", "i-5", "i-3")
+    assert _list_layers(rerouted) == list(range(80))
     assert paths.find_reroute(path, {"i-2"}, spares[:2], _COSTS) is None
 
 
-def test_why_a_request_waits_is_told():
+def test_bottlenecks_are_described():
     options = [
         make_option("i-1", 0, 70, room=500.0),
         make_option("i-2", 0, 80, place="b", room=90.0),
     ]
-    told = paths.describe_bottlenecks(options, 80)
-    assert told == {"a": "70: 0", "b": "0: 90"}
+    bottlenecks = paths.describe_bottlenecks(options, 80)
+    assert bottlenecks == {"a": "70: 0", "b": "0: 90"}
 
 
 @pytest.mark.parametrize("count", [0, 1])
-def test_no_engines(count):
+def test_incomplete_engines_have_no_path(count):
     options = [make_option("i-1", 5, 80)][:count]
     assert paths.find_path(options, _COSTS) is None
