--- a/magnoliacove/directory/view.py
+++ b/magnoliacove/directory/view.py
@@ -178,8 +178,8 @@
         if not self.forked:
             self._recorder.record(
                 "configuration-forked",
-                why=f"{source} has another history of the same version; "
-                "the one in force here is kept",
+                why=f"{source} has a different history of the same version; "
+                "the active one is kept",
             )
         self.forked = True
 
--- a/magnoliacove/routing/candidates.py
+++ b/magnoliacove/routing/candidates.py
@@ -155,7 +155,7 @@
                     # larger of the two counts.
                     capacity - max(load.token_layers, status.used),
                     load.requests,
-                    status.slowness * self._read_time_factor(target.name),
+                    status.slowness * self._choose_time_factor(target.name),
                 )
             )
         return options
@@ -336,13 +336,13 @@
         turns = 1 + running / max(1, target.slots)
         failures = statistics.read_failures(now) * _FAILURE_PENALTY
         seconds = (
-            statistics.seconds * turns * self._read_time_factor(target.name)
+            statistics.seconds * turns * self._choose_time_factor(target.name)
         )
         # Ties are broken at random, so that gateways do not all choose the
         # same target.
         return failures + seconds, self._rng.random()
 
-    def _read_time_factor(self, target: str) -> float:
+    def _choose_time_factor(self, target: str) -> float:
         """Return the factor on the expected time of a target."""
         if not self._permits.is_limited(target):
             return 1.0
--- a/magnoliacove/routing/paths.py
+++ b/magnoliacove/routing/paths.py
@@ -110,17 +110,17 @@
     """Return the fastest path after the preceding requests are placed."""
     remaining = ahead.requests
     group = max(1, math.ceil(remaining / _MAX_GROUPS))
-    taken: list[Path] = []
+    chosen: list[Path] = []
     path = search.find()
     while path is not None and remaining > 0:
-        taken.append(path)
+        chosen.append(path)
         search.place(path, RequestsAhead(min(group, remaining), ahead.seconds))
         remaining -= group
         path = search.find()
-    if path is None and taken:
+    if path is None and chosen:
         # The expected requests exceed the capacity, so any of the paths may
         # be as good as another.
-        return taken[ahead.requests % len(taken)]
+        return chosen[ahead.requests % len(chosen)]
     return path
 
 
--- a/tests/directory/test_leases.py
+++ b/tests/directory/test_leases.py
@@ -162,8 +162,9 @@
 @pytest.mark.parametrize("seed", range(12))
 async def test_one_holder_at_a_time_despite_restores(autojump_clock, seed):
     """Processes acquire, renew, fail to renew and release a lease while the
-    store is repeatedly restored from snapshots, also older ones.  Two never
-    hold it at once, and each acquisition has a higher fencing token.
+    store is repeatedly restored from snapshots, old ones more than once.
+    Two never hold it at once, and each acquisition has a higher fencing
+    token than all before it.
     """
     rng = random.Random(seed)
     store = object_api.ObjectStore()
