--- a/magnoliacove/commands/timeline.py
+++ b/magnoliacove/commands/timeline.py
@@ -140,7 +140,7 @@
     found: list[Event] = []
 
     async def ask(address: wire.Address) -> None:
-        if not await gather.ask_events(network, address, query, send):
+        if not await gather.query_events(network, address, query, send):
             silent.append(str(address))
 
     async def collect() -> None:
@@ -168,7 +168,7 @@
     async with trio.open_nursery() as nursery:
         for address in addresses:
             nursery.start_soon(
-                gather.ask_events, network, address, query, send
+                gather.query_events, network, address, query, send
             )
         async for event in receive:
             _show(_filter([event], options), options)
--- a/magnoliacove/gateway/peering.py
+++ b/magnoliacove/gateway/peering.py
@@ -19,7 +19,7 @@
 from magnoliacove.peers import ReportedHolding
 from magnoliacove.peers import ReportedQuarantine
 from magnoliacove.peers import ReportedSuspicion
-from magnoliacove.placement.leadership import STORE_AWAY
+from magnoliacove.placement.leadership import STORE_OUTAGE_SECONDS
 from magnoliacove.platform.settings import NodeSettings
 from magnoliacove.routing.owners import choose_owner
 
@@ -300,7 +300,7 @@
                 key=lambda one: one.configuration_version,
                 default=None,
             )
-            away = self.read_store_silence() > STORE_AWAY
+            away = self.read_store_silence() > STORE_OUTAGE_SECONDS
             better = [one for one in peers if one.store_reachable]
             now = trio.current_time()
             if newest and newest.configuration_version > own:
--- a/magnoliacove/gateway/process.py
+++ b/magnoliacove/gateway/process.py
@@ -37,7 +37,7 @@
 from magnoliacove.limits.quarantine import QuarantineBook
 from magnoliacove.metrics import Meters
 from magnoliacove.metrics import serve_meters
-from magnoliacove.placement import duty
+from magnoliacove.placement import controller
 from magnoliacove.placement import leadership
 from magnoliacove.platform.settings import NodeSettings
 from magnoliacove.routing.candidates import Candidates
@@ -168,7 +168,7 @@
             duration=leadership.LEASE_SECONDS,
         )
         self._leadership = leadership.Leadership(
-            leadership.LeadershipSources(
+            leadership.LeadershipInputs(
                 self._peers.read_store_silence,
                 self._peers.is_first,
                 self._peers.is_done_elsewhere,
@@ -179,8 +179,8 @@
             lease,
             recorder,
         )
-        self._duty = duty.PlacementDuty(
-            duty.DutySources(
+        self._duty = controller.PlacementController(
+            controller.ControllerInputs(
                 targets=targets,
                 health=health,
                 holdings=holdings,
@@ -192,7 +192,7 @@
                 is_settled=lambda: (
                     self.state.seen_traffic or not settings.first_start
                 ),
-                tell=self._peers.tell_news,
+                publish_status=self._peers.tell_news,
             ),
             self._leadership,
         )
--- a/magnoliacove/placement/__init__.py
+++ b/magnoliacove/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Which engine holds which layers, and who sees to it."""
+"""Placement of model layers on engines, and its leader election."""
--- a/magnoliacove/placement/balance.py
+++ b/magnoliacove/placement/balance.py
@@ -1,9 +1,10 @@
-"""Making the weakest part of a data centre's paths stronger.
+"""Rebalancing of the layers of one data centre.
 
-After engines were lost, moved and replaced, some layers are held by one
-engine that is short of memory, while others are held twice without need.
-The weakest layer bounds what the whole data centre carries, so an idle
-engine is moved to it, or one that holds it gives up other layers.
+After engines fail, move and are replaced, some layers are loaded on a single
+engine that is short of memory, while others have redundant replicas.  The
+layer with the least capacity limits the throughput of the whole data centre,
+so an idle engine is moved to it, or an engine that has it loaded gives up
+other layers.
 """
 
 from collections.abc import Iterable
@@ -15,111 +16,123 @@
 
 from magnoliacove.configuration.routes import ModelShape
 from magnoliacove.directory.listed import LayerRange
+from magnoliacove.placement.capacity import choose_capacity
+from magnoliacove.placement.capacity import count_layers
 from magnoliacove.placement.plan import EngineState
 from magnoliacove.placement.plan import PlacedLayers
-from magnoliacove.placement.rooms import choose_room
-from magnoliacove.placement.rooms import count_layers
-
-__all__ = ["find_better"]
-
-# What a move must gain: a part of the room wanted, or so many more layers
-# that are held twice.  Less is not worth the seconds of a load.
-_LEAST_GAIN = 0.08
-_LEAST_DOUBLED = 6
-# The step factor of a layer that nobody holds.
-_NOBODY = 1e9
-# Sums that are built up in another order differ in their last digits.
+
+__all__ = ["find_improvement"]
+
+# Minimum gain of a move: a fraction of the required capacity, or a number of
+# additional layers with a second replica.  A smaller gain is not worth the
+# seconds that loading the layers takes.
+_MIN_GAIN = 0.08
+_MIN_REPLICATED_GAIN = 6
+# Step factor of a layer that no engine has loaded.
+_UNLOADED_FACTOR = 1e9
+# Tolerance for floating-point sums that are added up in a different order.
 _ROUNDING = 1e-6
 
 
 @dataclass(frozen=True)
 class _Strength:
-    """How good a placement is; more room first.
-
-    :param tokens: the room of the weakest layer, up to what is wanted.
-    :param doubled: layers that at least two engines hold.
-    :param slowness: step factors of the quickest holders, over all layers.
+    """The rating of a placement; capacity is compared first.
+
+    :param tokens: the capacity of the weakest layer in tokens, limited to
+        the required capacity.
+    :param replicated: the number of layers that at least two engines have
+        loaded.
+    :param slowness: the sum over all layers of the step factor of the
+        fastest engine that has the layer loaded.
     """
 
     tokens: float
-    doubled: int
+    replicated: int
     slowness: float
 
 
-def find_better(
+def find_improvement(
     engines: Sequence[EngineState], shape: ModelShape
 ) -> PlacedLayers | None:
-    """Return the move that makes one data centre strongest, or None.
+    """Return the move that improves one data centre most, or None.
 
-    :param engines: all usable engines of one data centre; when one of
-        them is on the move already, nothing else is moved.
+    :param engines: all usable engines of one data centre; while one of
+        them is not movable, no move is returned.
     """
     if any(not engine.movable for engine in engines):
         return None
-    layered = _measure(engines, shape)
-    if not all(layered.counts):
+    totals = _measure(engines, shape)
+    if not all(totals.counts):
         return None
-    streams = choose_room((e.accelerator for e in engines), shape)
-    wanted = streams * shape.usual_tokens
-    now = _rate(layered, wanted)
-    rooms = layered.rooms
-    weakest = min(range(shape.layers), key=rooms.__getitem__)
-    best, found = now, None
+    streams = choose_capacity((e.accelerator for e in engines), shape)
+    required = streams * shape.usual_tokens
+    current = _rate(totals, required)
+    capacity = totals.capacity
+    weakest = min(range(shape.layers), key=capacity.__getitem__)
+    best, best_move = current, None
     for engine in engines:
-        others = _Others(engine, engines, shape)
-        for layers in _list_windows(engine, shape, weakest, now, streams):
-            strength = others.rate_with(layers, wanted)
-            if _is_better(strength, best, now, wanted):
+        others = _OtherEngines(engine, engines, shape)
+        for layers in _list_windows(engine, shape, weakest, current, streams):
+            strength = others.rate_with(layers, required)
+            if _is_better(strength, best, current, required):
                 best = strength
-                found = PlacedLayers(engine.target, layers, False)
-    return found
+                best_move = PlacedLayers(engine.target, layers, False)
+    return best_move
 
 
 @dataclass(frozen=True)
-class _Layered:
-    """For each layer: tokens of room, holders, the quickest step factor."""
+class _LayerTotals:
+    """Totals for each layer over all engines that have it loaded.
 
-    rooms: list[float]
+    :param capacity: the capacity in tokens.
+    :param counts: the number of engines.
+    :param factors: the step factor of the fastest engine.
+    """
+
+    capacity: list[float]
     counts: list[int]
     factors: list[float]
 
 
-def _measure(engines: Iterable[EngineState], shape: ModelShape) -> _Layered:
-    rooms, counts = [0.0] * shape.layers, [0] * shape.layers
-    factors = [_NOBODY] * shape.layers
+def _measure(
+    engines: Iterable[EngineState], shape: ModelShape
+) -> _LayerTotals:
+    capacity, counts = [0.0] * shape.layers, [0] * shape.layers
+    factors = [_UNLOADED_FACTOR] * shape.layers
     for engine in engines:
         layers = engine.layers
         if layers is None:
             continue
-        tokens = _read_room(engine, layers, shape)
+        tokens = _count_capacity(engine, layers, shape)
         factor = shape.accelerators[engine.accelerator].step_factor
         for n in range(layers.first, min(layers.end, shape.layers)):
-            rooms[n] += tokens
+            capacity[n] += tokens
             counts[n] += 1
             if factor < factors[n]:
                 factors[n] = factor
-    return _Layered(rooms, counts, factors)
+    return _LayerTotals(capacity, counts, factors)
 
 
-def _read_room(
+def _count_capacity(
     engine: EngineState, layers: LayerRange, shape: ModelShape
 ) -> float:
-    """Return the tokens that an engine has room for beside its layers."""
-    room = shape.count_room(engine.accelerator, layers.count)
-    return room / layers.count
+    """Return how many tokens fit in an engine's memory beside its layers."""
+    capacity = shape.count_room(engine.accelerator, layers.count)
+    return capacity / layers.count
 
 
-def _rate(layered: _Layered, wanted: float) -> _Strength:
-    doubled = sum(count > 1 for count in layered.counts)
-    tokens = min(min(layered.rooms), wanted)
-    return _Strength(tokens, doubled, sum(layered.factors))
+def _rate(totals: _LayerTotals, required: float) -> _Strength:
+    replicated = sum(count > 1 for count in totals.counts)
+    tokens = min(min(totals.capacity), required)
+    return _Strength(tokens, replicated, sum(totals.factors))
 
 
-class _Others:
-    """A placement without one engine, to which a range of it is added.
+class _OtherEngines:
+    """A placement without one engine, to rate layer ranges for that engine.
 
-    The search looks at some hundred ranges of each engine, in a process
-    that passes events on meanwhile.  Running sums make each a few steps.
+    The search rates several hundred ranges for each engine, in a process
+    that relays events at the same time.  Prefix sums reduce each rating to a
+    few operations.
     """
 
     def __init__(
@@ -128,85 +141,92 @@
         engines: Sequence[EngineState],
         shape: ModelShape,
     ) -> None:
-        rest = _measure((e for e in engines if e is not engine), shape)
+        totals = _measure((e for e in engines if e is not engine), shape)
         factor = shape.accelerators[engine.accelerator].step_factor
         self._engine = engine
         self._shape = shape
-        self._rooms = rest.rooms
-        # The least room of all layers before one, and from one on.
-        self._before = list(accumulate(rest.rooms, min, initial=math.inf))
+        self._capacity = totals.capacity
+        # Minimum capacity of the layers before each index, and from each
+        # index on.
+        self._before = list(accumulate(totals.capacity, min, initial=math.inf))
         self._after = list(
-            accumulate(reversed(rest.rooms), min, initial=math.inf)
+            accumulate(reversed(totals.capacity), min, initial=math.inf)
         )[::-1]
-        self._held = _add_up(count > 0 for count in rest.counts)
-        self._doubled = _add_up(count > 1 for count in rest.counts)
-        self._slowness = _add_up(rest.factors)
-        self._slowness_with = _add_up(min(f, factor) for f in rest.factors)
+        self._loaded = _sum_prefixes(count > 0 for count in totals.counts)
+        self._replicated = _sum_prefixes(count > 1 for count in totals.counts)
+        self._slowness = _sum_prefixes(totals.factors)
+        self._slowness_with = _sum_prefixes(
+            min(f, factor) for f in totals.factors
+        )
 
-    def rate_with(self, layers: LayerRange, wanted: float) -> _Strength:
-        """Return how good the placement is with a range of the engine."""
+    def rate_with(self, layers: LayerRange, required: float) -> _Strength:
+        """Return the rating of the placement with a range on the engine."""
         first, end = layers.first, min(layers.end, self._shape.layers)
-        room = _read_room(self._engine, layers, self._shape)
+        capacity = _count_capacity(self._engine, layers, self._shape)
         tokens = min(
             self._before[first],
-            min(self._rooms[first:end]) + room,
+            min(self._capacity[first:end]) + capacity,
             self._after[end],
-            wanted,
+            required,
         )
-        doubled = (
-            self._doubled[-1]
-            - (self._doubled[end] - self._doubled[first])
-            + (self._held[end] - self._held[first])
+        replicated = (
+            self._replicated[-1]
+            - (self._replicated[end] - self._replicated[first])
+            + (self._loaded[end] - self._loaded[first])
         )
         slowness = (
             self._slowness[-1]
             - (self._slowness[end] - self._slowness[first])
             + (self._slowness_with[end] - self._slowness_with[first])
         )
-        return _Strength(tokens, int(doubled), slowness)
+        return _Strength(tokens, int(replicated), slowness)
 
 
-def _add_up(values: Iterable[float]) -> list[float]:
-    """Return the sums of all values before each position."""
+def _sum_prefixes(values: Iterable[float]) -> list[float]:
+    """Return the sum of all values before each position."""
     return list(accumulate(values, initial=0.0))
 
 
 def _is_better(
-    strength: _Strength, best: _Strength, now: _Strength, wanted: float
+    strength: _Strength, best: _Strength, current: _Strength, required: float
 ) -> bool:
-    if strength.slowness > now.slowness + _ROUNDING:
-        # A layer would lose its quickest engine: every stream would feel
-        # that, and only few the want of room.
+    if strength.slowness > current.slowness + _ROUNDING:
+        # A layer would lose its fastest engine, which slows down every
+        # stream; a shortage of capacity affects only a few.
         return False
-    gained = strength.tokens - now.tokens
-    enough = gained >= _LEAST_GAIN * wanted or (
-        gained >= 0 and strength.doubled - now.doubled >= _LEAST_DOUBLED
+    gained = strength.tokens - current.tokens
+    enough = gained >= _MIN_GAIN * required or (
+        gained >= 0
+        and strength.replicated - current.replicated >= _MIN_REPLICATED_GAIN
     )
     if not enough:
         return False
-    return (strength.tokens, strength.doubled) > (best.tokens, best.doubled)
+    return (strength.tokens, strength.replicated) > (
+        best.tokens,
+        best.replicated,
+    )
 
 
 def _list_windows(
     engine: EngineState,
     shape: ModelShape,
     weakest: int,
-    now: _Strength,
+    current: _Strength,
     streams: int,
 ) -> Iterator[LayerRange]:
-    """Return ranges that an engine might hold instead of its own."""
-    held = engine.layers
-    if held is not None and held.first <= weakest < held.end:
-        # Giving layers up takes no load, so a busy engine may do it too.
-        for size in range(max(1, held.count // 2), held.count):
-            for first in range(held.first, held.end - size + 1):
+    """Yield layer ranges that an engine could serve instead of its own."""
+    own = engine.layers
+    if own is not None and own.first <= weakest < own.end:
+        # Giving up layers loads nothing, so a busy engine may do it too.
+        for size in range(max(1, own.count // 2), own.count):
+            for first in range(own.first, own.end - size + 1):
                 if first <= weakest < first + size:
                     yield LayerRange(first, first + size)
     if engine.requests:
         return
-    anywhere = now.tokens >= streams * shape.usual_tokens
-    for part in (1.0, 0.5):
-        size = count_layers(shape, engine.accelerator, streams * part)
+    anywhere = current.tokens >= streams * shape.usual_tokens
+    for fraction in (1.0, 0.5):
+        size = count_layers(shape, engine.accelerator, streams * fraction)
         if not size:
             continue
         low = 0 if anywhere else max(0, weakest - size + 1)
--- a/magnoliacove/placement/duty.py
+++ b/magnoliacove/placement/controller.py
@@ -24,7 +24,7 @@
 from magnoliacove.gateway.engines import was_held_up
 from magnoliacove.limits.load import LoadBook
 from magnoliacove.limits.permits import Permits
-from magnoliacove.placement.balance import find_better
+from magnoliacove.placement.balance import find_improvement
 from magnoliacove.placement.leadership import Leadership
 from magnoliacove.placement.plan import EngineState
 from magnoliacove.placement.plan import PlacedLayers
@@ -33,7 +33,7 @@
 from magnoliacove.platform.engines import OrderResult
 from magnoliacove.timeline import Recorder
 
-__all__ = ["DutySources", "PlacementDuty"]
+__all__ = ["ControllerInputs", "PlacementController"]
 
 _ROUND = 0.1
 # Each engine is asked twice a second: a lost one is found out within about
@@ -64,7 +64,7 @@
 
 
 @dataclass(frozen=True)
-class DutySources:
+class ControllerInputs:
     """What the duty reads and tells.
 
     :param list_models: the services that run on engines, by name.
@@ -81,7 +81,7 @@
     recorder: Recorder
     list_models: Callable[[], dict[str, ModelShape]]
     is_settled: Callable[[], bool]
-    tell: Callable[[], None]
+    publish_status: Callable[[], None]
 
 
 @dataclass
@@ -106,10 +106,12 @@
         self.interrupted = False
 
 
-class PlacementDuty:
+class PlacementController:
     """Takes part in the duty and does it while it is held."""
 
-    def __init__(self, sources: DutySources, leadership: Leadership) -> None:
+    def __init__(
+        self, sources: ControllerInputs, leadership: Leadership
+    ) -> None:
         self._sources = sources
         self._leadership = leadership
         self._engines: dict[str, _Engine] = {}
@@ -190,7 +192,7 @@
                 target.entry, report.incarnation, directly=True
             ):
                 # It is planned for anew, as one that holds nothing.
-                self._sources.tell()
+                self._sources.publish_status()
                 return
             self._take_report(target, engine, report)
             return
@@ -225,7 +227,7 @@
             ),
         )
         if changed:
-            self._sources.tell()
+            self._sources.publish_status()
 
     def _check_order(
         self, target: ListedTarget, engine: _Engine, report: EngineReport
@@ -296,7 +298,7 @@
         self._balanced_at = now
         self._turn = (self._turn + 1) % len(places)
         place = places[self._turn]
-        found = find_better(
+        found = find_improvement(
             [s for s in states if s.usable and s.data_centre == place], shape
         )
         return [found] if found is not None else []
@@ -388,7 +390,7 @@
         moving = item.closes_gap and kept != held
         holding = Holding(kept, True, moving=moving)
         if self._sources.holdings.note(target.name, holding):
-            self._sources.tell()
+            self._sources.publish_status()
 
 
 def _describe(layers: LayerRange | None) -> str:
--- a/magnoliacove/placement/leadership.py
+++ b/magnoliacove/placement/leadership.py
@@ -13,9 +13,9 @@
 __all__ = [
     "LEASE",
     "LEASE_SECONDS",
-    "STORE_AWAY",
+    "STORE_OUTAGE_SECONDS",
     "Leadership",
-    "LeadershipSources",
+    "LeadershipInputs",
 ]
 
 LEASE = "placement"
@@ -35,11 +35,11 @@
 # the last one at the latest, and goes on if the store counts as away before
 # it stops trusting its lease, 2 s after that; else nobody places layers until
 # another has found out.
-STORE_AWAY = 0.5
+STORE_OUTAGE_SECONDS = 0.5
 
 
 @dataclass(frozen=True)
-class LeadershipSources:
+class LeadershipInputs:
     """What decides who does the duty, beside the lease.
 
     :param read_store_silence: seconds since the store was lost, else 0.
@@ -66,7 +66,7 @@
     """
 
     def __init__(
-        self, sources: LeadershipSources, lease: Lease, recorder: Recorder
+        self, sources: LeadershipInputs, lease: Lease, recorder: Recorder
     ) -> None:
         self.acting = False
         self.since = 0.0
@@ -110,7 +110,7 @@
     def decide(self) -> bool:
         """Find out whether to act; return whether that has changed."""
         sources = self._sources
-        away = sources.read_store_silence() > STORE_AWAY
+        away = sources.read_store_silence() > STORE_OUTAGE_SECONDS
         acting = not self._leaving and (
             self._lease.held
             or (away and (self._goes_on() or sources.is_first_peer()))
--- a/magnoliacove/placement/plan.py
+++ b/magnoliacove/placement/plan.py
@@ -1,10 +1,11 @@
-"""Which engine is to hold which layers.
-
-Each data centre gets a path of its own: a token that crosses between data
-centres takes its turn in a pipe that all share.  What memory is left holds
-layers a second time, so that the loss of an engine leaves a whole path or
-a small gap.  A gap is closed with the fewest loads: by an engine that
-holds nothing, or one whose layers others hold as well.
+"""Planning of which engine loads which layers.
+
+Each data centre gets a path of its own, because a token that crosses between
+data centres queues for a link that all requests share.  The remaining memory
+holds second replicas of layers, so that a path stays complete or has only a
+small gap when an engine fails.  A gap is closed with the fewest loads: by an
+engine that has no layers loaded, or by one whose layers other engines have
+loaded as well.
 """
 
 from collections import defaultdict
@@ -14,10 +15,10 @@
 
 from magnoliacove.configuration.routes import ModelShape
 from magnoliacove.directory.listed import LayerRange
-from magnoliacove.placement.rooms import choose_room
-from magnoliacove.placement.rooms import count_layers
-from magnoliacove.placement.rooms import fit_room
-from magnoliacove.placement.rooms import measure_layer
+from magnoliacove.placement.capacity import choose_capacity
+from magnoliacove.placement.capacity import count_layers
+from magnoliacove.placement.capacity import estimate_layer_seconds
+from magnoliacove.placement.capacity import find_max_capacity
 
 __all__ = [
     "EngineState",
@@ -25,22 +26,25 @@
     "make_plan",
 ]
 
-# The part of the usual room that an engine has at least which closes a gap
-# that is too large for it else.
-_TIGHT = 0.5
+# Minimum capacity, as a fraction of the usual one, of an engine that closes a
+# gap for which its memory is otherwise too small.
+_MIN_CAPACITY_FRACTION = 0.5
 
 
 @dataclass(frozen=True)
 class EngineState:
-    """An engine as the plan sees it.
-
-    :param layers: what it holds, or is about to hold; None for nothing.
-    :param usable: whether it gets work; a lost one holds nothing.
-    :param movable: whether it may be ordered to hold other layers now.
-    :param requests: what passes through it.
-    :param settled: whether it holds its layers already.
-    :param foreign: whether it loads layers by an order that is not known,
-        as of another gateway or one carried out late.
+    """The state of one engine, as input of a plan.
+
+    :param layers: the layers that it has loaded, or is ordered to load; None
+        for none.
+    :param usable: whether it receives work; the layers of an unusable engine
+        do not count.
+    :param movable: whether it may be ordered to load other layers now.
+    :param requests: the number of requests in progress on it.
+    :param settled: whether it has loaded its layers already.
+    :param foreign: whether it loads layers because of an order that this
+        gateway has no record of, such as one from another gateway or one
+        that was applied late.
     """
 
     target: str
@@ -56,9 +60,10 @@
 
 @dataclass(frozen=True)
 class PlacedLayers:
-    """An engine and the layers that it is to hold from now on.
+    """An engine and the layers that it is to load.
 
-    :param closes_gap: without it a data centre has no whole path.
+    :param closes_gap: whether the data centre has no complete path without
+        it.
     """
 
     target: str
@@ -69,24 +74,26 @@
 def make_plan(
     engines: Sequence[EngineState], shape: ModelShape
 ) -> list[PlacedLayers]:
-    """Return what to change, the most urgent first.
+    """Return the changes to make, the most urgent first.
 
-    Engines that need no change are not named, so a plan for a fleet in
-    order is empty.
+    Engines that need no change are omitted, so the plan for a fleet without
+    gaps or unused engines is empty.
     """
-    by_place: dict[str, list[EngineState]] = defaultdict(list)
+    by_data_centre: dict[str, list[EngineState]] = defaultdict(list)
     for engine in engines:
         if engine.usable and engine.accelerator in shape.accelerators:
-            by_place[engine.data_centre].append(engine)
+            by_data_centre[engine.data_centre].append(engine)
     plans = [
         _DataCentrePlan(group, shape).make()
         for _, group in sorted(
-            by_place.items(), key=lambda item: -_sum_speed(item[1], shape)
+            by_data_centre.items(),
+            key=lambda item: -_sum_speed(item[1], shape),
         )
     ]
     placed = [item for plan in plans for item in plan]
-    # Closing gaps goes first everywhere; the order inside a data centre
-    # stays, so a cold fleet gets one whole path before the next begins.
+    # Changes that close gaps come first in all data centres.  The sort is
+    # stable, so the order inside a data centre stays, and a fleet without
+    # loaded layers completes one path before it begins the next.
     return sorted(placed, key=lambda item: not item.closes_gap)
 
 
@@ -104,71 +111,73 @@
         self, engines: Sequence[EngineState], shape: ModelShape
     ) -> None:
         self._shape = shape
-        # How many engines hold each layer, or are about to, and how many
-        # serve it now.
-        self._counts = [0] * shape.layers
-        self._served = [0] * shape.layers
-        self._held: dict[str, LayerRange] = {}
+        # How many engines have each layer loaded or are ordered to load it,
+        # and how many serve it now.
+        self._assigned_counts = [0] * shape.layers
+        self._served_counts = [0] * shape.layers
+        self._assigned: dict[str, LayerRange] = {}
         self._engines = {engine.target: engine for engine in engines}
-        self._streams = choose_room(
+        self._streams = choose_capacity(
             (engine.accelerator for engine in engines), shape
         )
         self._placed: list[PlacedLayers] = []
-        # Quick engines first: each path should run through them.
+        # Fast engines come first, so that each path uses them.
         self._empty = sorted(
             (e for e in engines if e.layers is None and e.movable),
-            key=lambda e: (self._measure_layer(e), e.target),
+            key=lambda e: (self._estimate_layer_seconds(e), e.target),
         )
         for engine in engines:
             if engine.layers is not None:
-                self._hold(engine.target, engine.layers)
+                self._assign(engine.target, engine.layers)
             if engine.layers is not None and engine.settled:
-                _count(self._served, engine.layers, 1)
+                _add_count(self._served_counts, engine.layers, 1)
 
     def make(self) -> list[PlacedLayers]:
         """Return the changes for this data centre."""
         if len(self._empty) == len(self._engines):
-            self._lay_out()
+            self._assign_first_path()
         self._close_gaps()
         for engine in self._empty:
-            # Whatever is left holds layers once more, from the first on,
-            # which the quickest engines run: their loss takes the longest
-            # to make good.
-            size = self._size(engine)
+            # The remaining engines load additional replicas, beginning with
+            # the first layers.  The fastest engines run these, and replacing
+            # one of them takes longest.
+            size = self._count_layers(engine)
             if size:
-                window = self._find_thinnest(size)
+                window = self._find_least_replicated(size)
                 self._place(engine.target, window, closes_gap=False)
         return self._placed
 
-    def _lay_out(self) -> None:
-        """Place one path's engines, when none holds anything yet."""
-        at, last = 0, self._shape.layers
+    def _assign_first_path(self) -> None:
+        """Assign the engines of one path while no engine has layers."""
+        position, layer_count = 0, self._shape.layers
         layout: list[tuple[EngineState, LayerRange]] = []
         for engine in self._empty:
-            size = self._size(engine)
-            if not size or at >= last:
+            size = self._count_layers(engine)
+            if not size or position >= layer_count:
                 continue
-            # The last one reaches back over its neighbour.
-            first = min(at, last - size)
+            # The range of the last engine overlaps that of its predecessor.
+            first = min(position, layer_count - size)
             layout.append((engine, LayerRange(first, first + size)))
-            at = first + size
-        if at < last:
+            position = first + size
+        if position < layer_count:
             return
         for engine, layers in layout:
             self._place(engine.target, layers, closes_gap=True)
         placed = {engine.target for engine, _ in layout}
         self._empty = [e for e in self._empty if e.target not in placed]
 
-    def _measure_layer(self, engine: EngineState) -> float:
-        return measure_layer(self._shape, engine.accelerator, self._streams)
+    def _estimate_layer_seconds(self, engine: EngineState) -> float:
+        return estimate_layer_seconds(
+            self._shape, engine.accelerator, self._streams
+        )
 
-    def _size(self, engine: EngineState, part: float = 1.0) -> int:
-        """Return how many layers an engine is to hold.
+    def _count_layers(self, engine: EngineState, fraction: float = 1.0) -> int:
+        """Return how many layers an engine is to load.
 
-        :param part: the part of the usual room that it is to have.
+        :param fraction: its capacity as a fraction of the usual capacity.
         """
         return count_layers(
-            self._shape, engine.accelerator, self._streams * part
+            self._shape, engine.accelerator, self._streams * fraction
         )
 
     def _close_gaps(self) -> None:
@@ -179,138 +188,155 @@
             if self._empty:
                 engine = self._empty.pop(0)
             elif any(e.foreign for e in self._engines.values()):
-                # It may be closing this gap.  Two gateways that act at once
-                # each moved engines for what the other's were loading, and
-                # tore the path up again for seconds.
+                # That engine may be closing this gap.  Two gateways that
+                # both act as the placement leader would otherwise each move
+                # engines to layers that the other's engines are loading, and
+                # interrupt the path again for seconds.
                 return
             else:
                 spare = self._find_spare(gap)
                 if spare is None:
-                    self._slide()
+                    self._shift_ranges()
                     return
                 engine = spare
-                self._release(engine.target)
-            size = self._size(engine)
+                self._unassign(engine.target)
+            size = self._count_layers(engine)
             if size < gap.count:
-                # Less room for requests is better than no path at all.
-                size = min(self._size(engine, _TIGHT), gap.count)
+                # Less capacity is better than no path at all.
+                size = min(
+                    self._count_layers(engine, _MIN_CAPACITY_FRACTION),
+                    gap.count,
+                )
             if size == 0:
                 continue
             window = self._fit_window(gap, size)
             self._place(engine.target, window, closes_gap=True)
 
-    def _slide(self) -> None:
-        """Close all gaps by moving the range of every engine a little.
+    def _shift_ranges(self) -> None:
+        """Close all gaps by shifting the range of every engine a little.
 
-        No engine can be spared.  Each keeps most of its layers and loads
-        few, which is done sooner than a whole range is loaded, and much
-        sooner than a lost engine is back.
+        This is for a data centre in which no engine can be spared.  Each
+        engine keeps most of its layers and loads only a few, which takes less
+        time than loading a whole range, and much less time than a failed
+        engine needs to return.
         """
-        engines = [e for e in self._engines.values() if e.target in self._held]
+        engines = [
+            e for e in self._engines.values() if e.target in self._assigned
+        ]
         kinds = [engine.accelerator for engine in engines]
-        streams = fit_room(kinds, self._shape)
+        streams = find_max_capacity(kinds, self._shape)
         if not streams or any(not engine.movable for engine in engines):
             return
-        at, last = 0, self._shape.layers
-        for engine in sorted(engines, key=self._rank_slide):
+        position, layer_count = 0, self._shape.layers
+        for engine in sorted(engines, key=self._rank_shift):
             size = count_layers(self._shape, engine.accelerator, streams)
-            if not size or at >= last:
+            if not size or position >= layer_count:
                 continue
-            first = min(at, last - size)
-            at = first + size
-            layers = LayerRange(first, at)
-            if layers != self._held[engine.target]:
-                self._release(engine.target)
+            first = min(position, layer_count - size)
+            position = first + size
+            layers = LayerRange(first, position)
+            if layers != self._assigned[engine.target]:
+                self._unassign(engine.target)
                 self._place(engine.target, layers, closes_gap=True)
 
-    def _rank_slide(self, engine: EngineState) -> tuple[int, str]:
-        return self._held[engine.target].first, engine.target
+    def _rank_shift(self, engine: EngineState) -> tuple[int, str]:
+        return self._assigned[engine.target].first, engine.target
 
     def _find_gap(self) -> LayerRange | None:
-        first = next((n for n, c in enumerate(self._counts) if not c), None)
+        first = next(
+            (n for n, c in enumerate(self._assigned_counts) if not c), None
+        )
         if first is None:
             return None
         end = first
-        while end < len(self._counts) and not self._counts[end]:
+        while (
+            end < len(self._assigned_counts) and not self._assigned_counts[end]
+        ):
             end += 1
         return LayerRange(first, end)
 
     def _find_spare(self, gap: LayerRange) -> EngineState | None:
-        """Return an engine whose layers others hold too, or None.
+        """Return an engine whose layers others serve too, or None.
 
-        One that closes the whole gap goes first, then the one with the
-        fewest requests, since those have to end or are cut off.
+        An engine that closes the whole gap is preferred, then the one with
+        the fewest requests, because these have to complete first or are
+        interrupted.
         """
         spare = [
             engine
             for name, engine in self._engines.items()
-            if engine.movable and name in self._held and self._is_spare(name)
+            if engine.movable
+            and name in self._assigned
+            and self._is_spare(name)
         ]
         if not spare:
             return None
 
         def rank(engine: EngineState) -> tuple[bool, int, int, str]:
-            size = self._size(engine, _TIGHT)
+            size = self._count_layers(engine, _MIN_CAPACITY_FRACTION)
             return size < gap.count, engine.requests, size, engine.target
 
         return min(spare, key=rank)
 
     def _is_spare(self, target: str) -> bool:
-        """Return whether others serve what an engine holds.
+        """Return whether other engines serve all layers of an engine.
 
-        What is still being loaded does not count: a layer would be served
-        by nobody until then.
+        Layers that are still being loaded do not count, because no engine
+        would serve them until the load completes.
         """
-        held = self._held[target]
+        layers = self._assigned[target]
         counts = (
-            self._served if self._engines[target].settled else self._counts
+            self._served_counts
+            if self._engines[target].settled
+            else self._assigned_counts
         )
-        return all(counts[n] > 1 for n in range(held.first, held.end))
+        return all(counts[n] > 1 for n in range(layers.first, layers.end))
 
     def _fit_window(self, gap: LayerRange, size: int) -> LayerRange:
-        """Return a range of a size that closes a gap as far as it can.
+        """Return the range of a size that covers as much of a gap as possible.
 
-        A range longer than the gap reaches over the layers beside it that
-        the fewest others hold.
+        A range longer than the gap also covers the adjacent layers that the
+        fewest engines have loaded.
         """
         if size <= gap.count:
             return LayerRange(gap.first, gap.first + size)
         last = self._shape.layers - size
         starts = range(max(0, gap.end - size), min(gap.first, last) + 1)
-        # The last of equals: a path that is being laid goes on upwards.
-        first = min(starts, key=lambda n: (self._weigh(n, size), -n))
+        # Among equals the last is chosen, so that a path that is being built
+        # continues upwards.
+        first = min(starts, key=lambda n: (self._sum_counts(n, size), -n))
         return LayerRange(first, first + size)
 
-    def _find_thinnest(self, size: int) -> LayerRange:
-        """Return the range whose layers the fewest engines hold."""
+    def _find_least_replicated(self, size: int) -> LayerRange:
+        """Return the range whose layers the fewest engines have loaded."""
         starts = range(self._shape.layers - size + 1)
-        first = min(starts, key=lambda n: (self._weigh(n, size), n))
+        first = min(starts, key=lambda n: (self._sum_counts(n, size), n))
         return LayerRange(first, first + size)
 
-    def _weigh(self, first: int, size: int) -> int:
-        return sum(self._counts[first : first + size])
+    def _sum_counts(self, first: int, size: int) -> int:
+        return sum(self._assigned_counts[first : first + size])
 
     def _place(
         self, target: str, layers: LayerRange, *, closes_gap: bool
     ) -> None:
-        self._hold(target, layers)
-        # One order at a time to an engine: the last place found counts.
+        self._assign(target, layers)
+        # Each engine gets one order at a time: the last assignment counts.
         self._placed = [p for p in self._placed if p.target != target]
         self._placed.append(PlacedLayers(target, layers, closes_gap))
 
-    def _hold(self, target: str, layers: LayerRange) -> None:
-        self._held[target] = layers
-        _count(self._counts, layers, 1)
+    def _assign(self, target: str, layers: LayerRange) -> None:
+        self._assigned[target] = layers
+        _add_count(self._assigned_counts, layers, 1)
 
-    def _release(self, target: str) -> None:
-        held = self._held.pop(target)
-        _count(self._counts, held, -1)
+    def _unassign(self, target: str) -> None:
+        layers = self._assigned.pop(target)
+        _add_count(self._assigned_counts, layers, -1)
         engine = self._engines[target]
-        if engine.settled and engine.layers == held:
-            _count(self._served, held, -1)
+        if engine.settled and engine.layers == layers:
+            _add_count(self._served_counts, layers, -1)
 
 
-def _count(counts: list[int], layers: LayerRange, change: int) -> None:
-    """Add to the counts of some layers, as far as the model has them."""
+def _add_count(counts: list[int], layers: LayerRange, change: int) -> None:
+    """Add a change to the counts of all layers that exist in the model."""
     for n in range(layers.first, min(layers.end, len(counts))):
         counts[n] += change
--- a/magnoliacove/timeline/gather.py
+++ b/magnoliacove/timeline/gather.py
@@ -10,7 +10,7 @@
 from magnoliacove.timeline.events import Event
 from magnoliacove.wire import messages
 
-__all__ = ["ask_events", "merge_events", "read_log"]
+__all__ = ["merge_events", "query_events", "read_log"]
 
 _ASK_TIMEOUT = 3.0
 
@@ -40,7 +40,7 @@
     return found
 
 
-async def ask_events(
+async def query_events(
     network: wire.Network,
     address: wire.Address,
     query: messages.EventsQuery,
--- a/measure/gateway.py
+++ b/measure/gateway.py
@@ -16,7 +16,7 @@
 from magnoliacove.directory.holdings import Holding
 from magnoliacove.directory.listed import LayerRange
 from magnoliacove.limits import TargetLoad
-from magnoliacove.placement.balance import find_better
+from magnoliacove.placement.balance import find_improvement
 from magnoliacove.placement.plan import EngineState
 from magnoliacove.placement.plan import make_plan
 from magnoliacove.platform.routes import read_routes
@@ -168,7 +168,7 @@
                     functools.partial(make_plan, states, SHAPE), 3
                 ),
                 "balance_ms": _time(
-                    functools.partial(find_better, first, SHAPE), 5
+                    functools.partial(find_improvement, first, SHAPE), 5
                 ),
             }
         )
--- a/tests/placement/test_rooms.py
+++ b/tests/placement/test_capacity.py
@@ -5,7 +5,7 @@
 import pytest
 
 from magnoliacove.configuration.routes import Accelerator
-from magnoliacove.placement import rooms
+from magnoliacove.placement import capacity
 from tests.shapes import KINDS
 from tests.shapes import make_shape
 
@@ -46,21 +46,24 @@
     ones meet the loss of an engine and come late.
     """
     kinds = _list_kinds(counts)
-    chosen = rooms.choose_room(kinds, _GATES)
+    chosen = capacity.choose_capacity(kinds, _GATES)
     assert least <= chosen <= most
     assert _count_path(kinds, chosen) <= engines
-    best = max(rooms.estimate_rate(kinds, _GATES, n) for n in range(4, 58))
-    assert rooms.estimate_rate(kinds, _GATES, chosen) >= 0.79 * best
+    best = max(capacity.estimate_rate(kinds, _GATES, n) for n in range(4, 58))
+    assert capacity.estimate_rate(kinds, _GATES, chosen) >= 0.79 * best
 
 
 def _count_path(kinds, streams):
     held, used = 0, 0
     order = sorted(
-        kinds, key=lambda kind: rooms.measure_layer(_GATES, kind, streams)
+        kinds,
+        key=lambda kind: capacity.estimate_layer_seconds(
+            _GATES, kind, streams
+        ),
     )
     for kind in order:
         if held < 80:
-            held += rooms.count_layers(_GATES, kind, streams)
+            held += capacity.count_layers(_GATES, kind, streams)
             used += 1
     return used
 
@@ -80,7 +83,9 @@
         accelerators=_LARGE,
     )
     kinds = _list_kinds({"a100": 2, "l40s": 5, "l4": 13})
-    assert rooms.choose_room(kinds, grown) == rooms.fit_room(kinds, grown)
+    assert capacity.choose_capacity(
+        kinds, grown
+    ) == capacity.find_max_capacity(kinds, grown)
 
 
 @given(
@@ -90,9 +95,9 @@
 )
 def test_there_is_room_for_what_fits(counts):
     kinds, shape = _list_kinds(counts), make_shape()
-    chosen = rooms.choose_room(kinds, shape)
-    most = rooms.fit_room(kinds, shape)
+    chosen = capacity.choose_capacity(kinds, shape)
+    most = capacity.find_max_capacity(kinds, shape)
     assert 4 <= chosen <= max(most, 4)
     if most >= 4:
-        sizes = [rooms.count_layers(shape, kind, chosen) for kind in kinds]
+        sizes = [capacity.count_layers(shape, kind, chosen) for kind in kinds]
         assert sum(sizes) >= shape.layers
--- a/tests/placement/test_duty.py
+++ b/tests/placement/test_controller.py
@@ -23,7 +23,7 @@
 from magnoliacove.limits.backpressure import TargetNotice
 from magnoliacove.limits.grants import GrantBook
 from magnoliacove.limits.permits import Permits
-from magnoliacove.placement import duty
+from magnoliacove.placement import controller
 from magnoliacove.placement import leadership
 from magnoliacove.platform.engines import EngineReport
 from magnoliacove.platform.engines import OrderResult
@@ -145,7 +145,7 @@
             return trio.current_time() - lost[0] if lost else 0.0
 
         lead = leadership.Leadership(
-            leadership.LeadershipSources(
+            leadership.LeadershipInputs(
                 read_silence,
                 lambda: first,
                 lambda: False,
@@ -165,8 +165,8 @@
         self.books.append(BackpressureBook(recorder))
         self.permits.append(Permits(self.books[-1], GrantBook(name)))
         self.healths.append(Health(recorder))
-        made = duty.PlacementDuty(
-            duty.DutySources(
+        made = controller.PlacementController(
+            controller.ControllerInputs(
                 targets,
                 self.healths[-1],
                 Holdings(),
--- a/tests/placement/test_plan.py
+++ b/tests/placement/test_plan.py
@@ -8,9 +8,9 @@
 
 from magnoliacove.directory.listed import LayerRange
 from magnoliacove.placement import balance
+from magnoliacove.placement import capacity
 from magnoliacove.placement import plan
-from magnoliacove.placement import rooms
-from magnoliacove.placement.balance import find_better
+from magnoliacove.placement.balance import find_improvement
 from tests.shapes import KINDS
 from tests.shapes import make_shape
 
@@ -94,15 +94,15 @@
 
 def _measure_room(engines, place, shape=_SHAPE):
     """Return the requests of usual length that the weakest layer holds."""
-    rooms = [0.0] * 80
+    capacity = [0.0] * 80
     for engine in engines.values():
         layers = engine.layers
         if engine.data_centre != place or layers is None:
             continue
         room = shape.count_room(engine.accelerator, layers.count)
         for n in range(layers.first, layers.end):
-            rooms[n] += room / layers.count / shape.usual_tokens
-    return min(rooms)
+            capacity[n] += room / layers.count / shape.usual_tokens
+    return min(capacity)
 
 
 def _list_kinds(counts):
@@ -112,10 +112,10 @@
 def _compare_pace(counts):
     """Return a token's time with the room chosen, against the most room."""
     kinds = _list_kinds(counts)
-    chosen = rooms.choose_room(kinds, _SHAPE)
-    most = rooms.fit_room(kinds, _SHAPE)
+    chosen = capacity.choose_capacity(kinds, _SHAPE)
+    most = capacity.find_max_capacity(kinds, _SHAPE)
     seconds = [
-        n / rooms.estimate_rate(kinds, _SHAPE, n) for n in (chosen, most)
+        n / capacity.estimate_rate(kinds, _SHAPE, n) for n in (chosen, most)
     ]
     return seconds[0] / seconds[1]
 
@@ -133,7 +133,7 @@
     in_progress = 80 * max(map(_compare_pace, _PLACES.values()))
     assert measured[0] + measured[1] >= 1.25 * in_progress
     for place in _PLACES:
-        chosen = rooms.choose_room(_list_kinds(_PLACES[place]), _SHAPE)
+        chosen = capacity.choose_capacity(_list_kinds(_PLACES[place]), _SHAPE)
         assert _measure_room(engines, place) >= chosen
 
 
@@ -287,11 +287,11 @@
         plan.EngineState("i-3", "a", "l4", LayerRange(69, 80), requests=9),
         plan.EngineState("i-4", "a", "l4", LayerRange(0, 9)),
     ]
-    found = find_better(engines, _SHAPE)
+    found = find_improvement(engines, _SHAPE)
     assert found.target == "i-4"
     assert found.layers.first <= 79 < found.layers.end
     busy = [replace(engine, requests=9) for engine in engines]
-    found = find_better(busy, _SHAPE)
+    found = find_improvement(busy, _SHAPE)
     # Giving up a layer that another holds takes no load.
     assert (found.target, found.layers) == ("i-3", LayerRange(70, 80))
 
@@ -301,7 +301,7 @@
     _carry_out(engines)
     states = list(engines.values())
     states[0] = replace(states[0], movable=False)
-    assert find_better(states, _SHAPE) is None
+    assert find_improvement(states, _SHAPE) is None
 
 
 @given(
@@ -323,11 +323,11 @@
     layers = LayerRange(first, min(80, first + count))
     changed = [replace(engines[0], layers=layers), *engines[1:]]
     wanted = 50_000.0
-    rated = balance._Others(engines[0], engines, _SHAPE).rate_with(
+    rated = balance._OtherEngines(engines[0], engines, _SHAPE).rate_with(
         layers, wanted
     )
     whole = balance._rate(balance._measure(changed, _SHAPE), wanted)
-    assert rated.doubled == whole.doubled
+    assert rated.replicated == whole.replicated
     assert rated.tokens == pytest.approx(whole.tokens)
     assert rated.slowness == pytest.approx(whole.slowness)
 
@@ -338,11 +338,11 @@
         engines = _make_engines({place: kinds})
         _carry_out(engines)
         for _ in range(12):
-            found = find_better(list(engines.values()), _SHAPE)
+            found = find_improvement(list(engines.values()), _SHAPE)
             if found is None:
                 break
             engines[found.target] = replace(
                 engines[found.target], layers=found.layers
             )
             assert min(_count(engines, place)) >= 1
-        assert find_better(list(engines.values()), _SHAPE) is None
+        assert find_improvement(list(engines.values()), _SHAPE) is None
