--- a/magnoliacove/placement/balance.py
+++ b/magnoliacove/placement/balance.py
@@ -67,8 +67,8 @@
     streams = choose_capacity((e.accelerator for e in engines), shape)
     required = streams * shape.usual_tokens
     current = _rate(totals, required)
-    capacity = totals.capacity
-    weakest = min(range(shape.layers), key=capacity.__getitem__)
+    capacities = totals.capacities
+    weakest = min(range(shape.layers), key=capacities.__getitem__)
     best, best_move = current, None
     for engine in engines:
         others = _OtherEngines(engine, engines, shape)
@@ -84,12 +84,12 @@
 class _LayerTotals:
     """Totals for each layer over all engines that have it loaded.
 
-    :param capacity: the capacity in tokens.
+    :param capacities: the capacity in tokens.
     :param counts: the number of engines.
     :param factors: the step factor of the fastest engine.
     """
 
-    capacity: list[float]
+    capacities: list[float]
     counts: list[int]
     factors: list[float]
 
@@ -97,7 +97,7 @@
 def _measure(
     engines: Iterable[EngineState], shape: ModelShape
 ) -> _LayerTotals:
-    capacity, counts = [0.0] * shape.layers, [0] * shape.layers
+    capacities, counts = [0.0] * shape.layers, [0] * shape.layers
     factors = [_UNLOADED_FACTOR] * shape.layers
     for engine in engines:
         layers = engine.layers
@@ -106,11 +106,11 @@
         tokens = _count_capacity(engine, layers, shape)
         factor = shape.accelerators[engine.accelerator].step_factor
         for n in range(layers.first, min(layers.end, shape.layers)):
-            capacity[n] += tokens
+            capacities[n] += tokens
             counts[n] += 1
             if factor < factors[n]:
                 factors[n] = factor
-    return _LayerTotals(capacity, counts, factors)
+    return _LayerTotals(capacities, counts, factors)
 
 
 def _count_capacity(
@@ -123,7 +123,7 @@
 
 def _rate(totals: _LayerTotals, required: float) -> _Strength:
     replicated = sum(count > 1 for count in totals.counts)
-    tokens = min(min(totals.capacity), required)
+    tokens = min(min(totals.capacities), required)
     return _Strength(tokens, replicated, sum(totals.factors))
 
 
@@ -145,12 +145,14 @@
         factor = shape.accelerators[engine.accelerator].step_factor
         self._engine = engine
         self._shape = shape
-        self._capacity = totals.capacity
+        self._capacities = totals.capacities
         # Minimum capacity of the layers before each index, and from each
         # index on.
-        self._before = list(accumulate(totals.capacity, min, initial=math.inf))
+        self._before = list(
+            accumulate(totals.capacities, min, initial=math.inf)
+        )
         self._after = list(
-            accumulate(reversed(totals.capacity), min, initial=math.inf)
+            accumulate(reversed(totals.capacities), min, initial=math.inf)
         )[::-1]
         self._loaded = _sum_prefixes(count > 0 for count in totals.counts)
         self._replicated = _sum_prefixes(count > 1 for count in totals.counts)
@@ -165,7 +167,7 @@
         capacity = _count_capacity(self._engine, layers, self._shape)
         tokens = min(
             self._before[first],
-            min(self._capacity[first:end]) + capacity,
+            min(self._capacities[first:end]) + capacity,
             self._after[end],
             required,
         )
--- a/magnoliacove/placement/controller.py
+++ b/magnoliacove/placement/controller.py
@@ -1,9 +1,11 @@
-"""The duty of keeping layers placed, held by one gateway at a time.
-
-The holder of a lease in the platform's store asks the engines how they are
-and orders layers onto them.  While the store is away the last holder goes
-on, or else the live gateway whose name comes first: orders name the number
-of orders that the engine has begun, so of two that cross only one counts.
+"""The placement controller, active on one gateway at a time.
+
+The gateway that holds a lease in the platform's store is the placement
+leader.  It requests status reports from the engines and orders them to load
+layers.  While the store is unreachable, the last leader continues, or else
+the live gateway whose name sorts first acts.  Each order states how many
+orders the engine has begun so far, so the engine applies only one of two
+concurrent orders.
 """
 
 from collections.abc import Callable
@@ -35,41 +37,50 @@
 
 __all__ = ["ControllerInputs", "PlacementController"]
 
-_ROUND = 0.1
-# Each engine is asked twice a second: a lost one is found out within about
-# a second even where no stream passes, and a report is cheap.
-_REPORT_EVERY = 0.5
-# One that takes layers, or is suspected, is asked more often: until its
-# answer a data centre may lack a path.
-_REPORT_SOON = 0.2
+# Seconds between rounds.
+_ROUND_INTERVAL = 0.1
+# Seconds between reports of an engine.  Two reports per second detect a
+# failed engine within about a second even if it serves no stream, and a
+# report is cheap.
+_REPORT_INTERVAL = 0.5
+# Seconds between reports of an engine that loads layers or is suspected.  It
+# reports more often because a data centre may lack a path until it answers.
+_URGENT_REPORT_INTERVAL = 0.2
+# Seconds to wait for a report.
 _REPORT_TIMEOUT = 0.35
-# For one that a gateway suspects, which asked twice already.
+# Seconds to wait for a report of an engine that a gateway already suspects;
+# that gateway has already asked it twice.
 _SUSPECT_TIMEOUT = 0.2
-# Reports that fail in a row before an engine is suspected; one may be
-# lost on a bad link.
-_FAILURES = 2
-# The list of targets fills over some seconds after a start.  A placement
-# on a part of it would be made again, so it is awaited to stand still.
-_SETTLED = 1.5
-_MOST_WAIT = 6.0
-# Orders are answered within 10 ms.  One that is not may have been taken all
-# the same, or be carried out seconds later; one whose engine shows no sign
-# of it for so long, in seconds, is given again.  Both name the same number
-# of orders before, so only one counts.  What an engine says is 0.2 s old.
+# Consecutive failed reports after which an engine is suspected; a single one
+# may be lost on a bad link.
+_MAX_FAILURES = 2
+# Seconds without a change of the target list before the first plan.  The list
+# fills over some seconds after a start, and a placement on a part of it would
+# have to be redone.
+_TARGETS_STABLE_TIME = 1.5
+# Maximum seconds to wait for a stable target list.
+_MAX_START_WAIT = 6.0
+# Seconds to wait for the answer to an order; engines answer within 10 ms.  An
+# order without an answer may still have been accepted, or be applied seconds
+# later.
 _ANSWER_TIMEOUT = 0.3
+# Seconds after which an order is repeated if no report of the engine shows
+# it.  Both orders state the same number of previous orders, so the engine
+# applies only one.  Reports are up to 0.2 s old.
 _ORDER_TIMEOUT = 0.6
-# How often each data centre without gaps is looked at for a better
-# placement; the search takes some 10 ms.
-_BALANCE_EVERY = 1.0
+# Seconds between searches for a better placement in each data centre without
+# gaps; a search takes some 10 ms.
+_BALANCE_INTERVAL = 1.0
 
 
 @dataclass(frozen=True)
 class ControllerInputs:
-    """What the duty reads and tells.
+    """What the controller reads, and what it reports to.
 
-    :param list_models: the services that run on engines, by name.
-    :param is_settled: whether traffic has begun, so nothing is awaited.
-    :param tell: called when engines hold other layers than before.
+    :param list_models: returns the services that run on engines, by name.
+    :param is_settled: whether traffic has begun, so that plans do not wait
+        for a stable target list.
+    :param publish_status: called when the status of engines has changed.
     """
 
     targets: TargetList
@@ -86,41 +97,43 @@
 
 @dataclass
 class _Engine:
-    """What the duty knows of one engine.
+    """The controller's state of one engine.
 
-    :param ordered: what it was ordered to hold, until it shows.
-    :param ordered_at: when the order was given.
-    :param interrupted: the order cuts off what passes through old layers.
+    :param ordered: the layers that it is ordered to load, until a report
+        shows them.
+    :param ordered_at: when the order was sent.
+    :param interrupted: whether the order interrupts the requests that use
+        the old layers.
     """
 
     report: EngineReport | None = None
-    asked_at: float = -1e9
+    report_requested_at: float = -1e9
     failures: int = 0
     ordered: LayerRange | None = None
     ordered_at: float = 0.0
     interrupted: bool = False
 
-    def forget_order(self) -> None:
-        """Take the last order for done, or for lost."""
+    def clear_order(self) -> None:
+        """Clear the last order because it is complete or lost."""
         self.ordered = None
         self.interrupted = False
 
 
 class PlacementController:
-    """Takes part in the duty and does it while it is held."""
+    """Plans placements and sends orders while this gateway is the leader."""
 
     def __init__(
-        self, sources: ControllerInputs, leadership: Leadership
+        self, inputs: ControllerInputs, leadership: Leadership
     ) -> None:
-        self._sources = sources
+        self._inputs = inputs
         self._leadership = leadership
         self._engines: dict[str, _Engine] = {}
         self._started = trio.current_time()
         self._balanced_at = 0.0
-        self._turn = 0
+        self._next_data_centre = 0
 
     async def run(self) -> None:
-        """Take part until cancelled."""
+        """Run the leader election and the controller until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._leadership.run)
             while True:
@@ -128,86 +141,94 @@
                     self._engines.clear()
                 if self._leadership.acting:
                     await self._do_round(nursery)
-                await trio.sleep(_ROUND)
-
-    # One round.
+                await trio.sleep(_ROUND_INTERVAL)
 
     async def _do_round(self, nursery: trio.Nursery) -> None:
-        sources = self._sources
+        inputs = self._inputs
         now = trio.current_time()
-        models = sources.list_models()
-        known = {t.name for t in sources.targets.list_all()}
-        for name in set(self._engines) - known:
+        models = inputs.list_models()
+        listed = {t.name for t in inputs.targets.list_all()}
+        for name in set(self._engines) - listed:
             del self._engines[name]
         for service, shape in models.items():
-            for target in sources.targets.list_service(service):
+            for target in inputs.targets.list_service(service):
                 engine = self._engines.setdefault(target.name, _Engine())
-                awaited = engine.ordered is not None or (
-                    not sources.health.is_usable(target.name)
+                urgent = engine.ordered is not None or (
+                    not inputs.health.is_usable(target.name)
+                )
+                interval = (
+                    _URGENT_REPORT_INTERVAL if urgent else _REPORT_INTERVAL
                 )
-                pause = _REPORT_SOON if awaited else _REPORT_EVERY
                 if engine.failures:
-                    # A second failure in a row tells that it is lost.
-                    pause = min(pause, _REPORT_TIMEOUT)
-                due = now - engine.asked_at >= pause
-                if due and sources.permits.try_call_for_duty(target.name):
-                    engine.asked_at = now
-                    nursery.start_soon(self._ask, target, engine)
+                    # A second consecutive failure marks it as failed.
+                    interval = min(interval, _REPORT_TIMEOUT)
+                due = now - engine.report_requested_at >= interval
+                if due and inputs.permits.try_call_for_duty(target.name):
+                    engine.report_requested_at = now
+                    nursery.start_soon(self._request_report, target, engine)
             if self._may_plan(service):
-                self._give_orders(nursery, service, shape)
+                self._send_orders(nursery, service, shape)
 
     def _may_plan(self, service: str) -> bool:
-        """Return whether enough is known to place layers."""
-        sources = self._sources
+        """Return whether the reports and the target list suffice to plan."""
+        inputs = self._inputs
         now = trio.current_time()
-        targets = sources.targets.list_service(service)
+        targets = inputs.targets.list_service(service)
         if not targets:
             return False
         answered = [
             t for t in targets if self._engines[t.name].report is not None
         ]
-        asked_for = now - self._leadership.since
-        if len(answered) < len(targets) and asked_for < _REPORT_EVERY * 2:
+        leading_for = now - self._leadership.since
+        if len(answered) < len(targets) and leading_for < _REPORT_INTERVAL * 2:
             return False
-        if sources.is_settled():
+        if inputs.is_settled():
             return True
-        still = now - sources.targets.changed_at
-        return still >= _SETTLED or now - self._started > _MOST_WAIT
+        stable_for = now - inputs.targets.changed_at
+        return (
+            stable_for >= _TARGETS_STABLE_TIME
+            or now - self._started > _MAX_START_WAIT
+        )
 
-    async def _ask(self, target: ListedTarget, engine: _Engine) -> None:
+    async def _request_report(
+        self, target: ListedTarget, engine: _Engine
+    ) -> None:
         report: EngineReport | None = None
-        suspected = not self._sources.health.is_usable(target.name)
+        suspected = not self._inputs.health.is_usable(target.name)
         timeout = _SUSPECT_TIMEOUT if suspected else _REPORT_TIMEOUT
         began = trio.current_time()
         with trio.move_on_after(timeout):
             try:
-                report = await self._sources.calls.read_report(target)
-            except TargetError as why:
+                report = await self._inputs.calls.read_report(target)
+            except TargetError as exc:
                 engine.failures += 1
-                if why.outcome is errors.Outcome.NOT_RUN:
-                    # Nobody listens there: there is no need to ask again.
-                    engine.failures = _FAILURES
+                if exc.outcome is errors.Outcome.NOT_RUN:
+                    # Nothing listens on its address, so no second report is
+                    # needed.
+                    engine.failures = _MAX_FAILURES
         if report is not None:
-            if self._sources.targets.observe(
+            if self._inputs.targets.observe(
                 target.entry, report.incarnation, directly=True
             ):
-                # It is planned for anew, as one that holds nothing.
-                self._sources.publish_status()
+                # The new incarnation is planned for as an engine without
+                # layers.
+                self._inputs.publish_status()
                 return
-            self._take_report(target, engine, report)
+            self._process_report(target, engine, report)
             return
-        refused = engine.failures >= _FAILURES
+        refused = engine.failures >= _MAX_FAILURES
         if not refused and was_held_up(began, timeout):
-            # All engines that were asked would be suspected by all gateways
-            # at once, and all streams led around them.
+            # This process was delayed itself.  Otherwise all gateways would
+            # suspect all engines with a pending report at once and reroute
+            # all streams around them.
             return
         engine.failures += 1
-        suspected = not self._sources.health.is_usable(target.name)
-        if engine.failures >= _FAILURES or suspected:
+        suspected = not self._inputs.health.is_usable(target.name)
+        if engine.failures >= _MAX_FAILURES or suspected:
             engine.report = None
-            self._sources.health.suspect(target.name, "it gives no reports")
+            self._inputs.health.suspect(target.name, "it gives no reports")
 
-    def _take_report(
+    def _process_report(
         self, target: ListedTarget, engine: _Engine, report: EngineReport
     ) -> None:
         engine.failures = 0
@@ -217,48 +238,46 @@
         layers = report.layers
         ordered = engine.ordered
         if ordered is not None and layers is not None and layers != ordered:
-            # What is being given up takes no new work.
+            # Layers that the engine is giving up receive no new work.
             layers = layers.intersect(ordered)
         moving = engine.interrupted and layers != report.layers
-        changed = self._sources.holdings.note(
+        changed = self._inputs.holdings.note(
             target.name,
             Holding(
                 layers, report.loading, report.slowness, report.used, moving
             ),
         )
         if changed:
-            self._sources.publish_status()
+            self._inputs.publish_status()
 
     def _check_order(
         self, target: ListedTarget, engine: _Engine, report: EngineReport
     ) -> None:
-        """Forget an order that is done, or that the engine never began."""
+        """Clear an order that is complete or that the engine never began."""
         now = trio.current_time()
         if report.layers == engine.ordered and not report.loading:
-            self._sources.recorder.record(
+            self._inputs.recorder.record(
                 "layers-placed",
                 target=target.name,
                 layers=_describe(engine.ordered),
                 seconds=round(now - engine.ordered_at, 2),
             )
-            engine.forget_order()
+            engine.clear_order()
         elif not report.loading and now - engine.ordered_at > _ORDER_TIMEOUT:
-            self._sources.recorder.record(
+            self._inputs.recorder.record(
                 "order-lost",
                 target=target.name,
                 layers=_describe(engine.ordered),
-                why="the engine neither holds nor loads the layers",
+                why="the engine has not loaded the layers nor begun to",
             )
-            engine.forget_order()
-
-    # Orders.
+            engine.clear_order()
 
-    def _give_orders(
+    def _send_orders(
         self, nursery: trio.Nursery, service: str, shape: ModelShape
     ) -> None:
         states = [
             self._describe_engine(target)
-            for target in self._sources.targets.list_service(service)
+            for target in self._inputs.targets.list_service(service)
         ]
         loading = sum(
             1
@@ -268,129 +287,135 @@
         plan = make_plan(states, shape)
         if not plan and not loading:
             plan = self._find_improvements(states, shape)
-        if self._sources.is_settled():
-            # More loads at a time take longer each; what closes a gap
-            # should not wait for what does not.
+        if self._inputs.is_settled():
+            # Each of several concurrent loads takes longer, and a load that
+            # closes a gap should not wait for one that does not.
             plan = plan[: max(0, shape.parallel_loads - loading)]
         for item in plan:
-            target = self._sources.targets.find(item.target)
+            target = self._inputs.targets.find(item.target)
             if target is None:
                 continue
             engine = self._engines[item.target]
             engine.ordered = item.layers
             engine.ordered_at = trio.current_time()
             engine.interrupted = item.closes_gap
-            nursery.start_soon(self._order, target, engine, item)
+            nursery.start_soon(self._send_order, target, engine, item)
 
     def _find_improvements(
         self, states: list[EngineState], shape: ModelShape
     ) -> list[PlacedLayers]:
-        """Return at most one move, now and then.
+        """Return at most one move, searched for at intervals.
 
-        The data centres take turns: one search after the other would hold
-        up the events that this process passes on, three or more in a row.
+        Each call searches at most one data centre, in turn, because three or
+        more consecutive searches would delay the events that this process
+        relays.
         """
         now = trio.current_time()
-        places = sorted({state.data_centre for state in states})
-        pause = _BALANCE_EVERY / max(1, len(places))
-        if now - self._balanced_at < pause:
+        data_centres = sorted({state.data_centre for state in states})
+        interval = _BALANCE_INTERVAL / max(1, len(data_centres))
+        if now - self._balanced_at < interval:
             return []
         self._balanced_at = now
-        self._turn = (self._turn + 1) % len(places)
-        place = places[self._turn]
-        found = find_improvement(
-            [s for s in states if s.usable and s.data_centre == place], shape
+        self._next_data_centre = (self._next_data_centre + 1) % len(
+            data_centres
+        )
+        data_centre = data_centres[self._next_data_centre]
+        move = find_improvement(
+            [s for s in states if s.usable and s.data_centre == data_centre],
+            shape,
         )
-        return [found] if found is not None else []
+        return [move] if move is not None else []
 
     def _describe_engine(self, target: ListedTarget) -> EngineState:
         engine = self._engines[target.name]
         report = engine.report
-        suspicion = self._sources.health.find(target.name)
-        leaving = self._sources.permits.is_leaving(target.name) or (
+        suspicion = self._inputs.health.find(target.name)
+        leaving = self._inputs.permits.is_leaving(target.name) or (
             suspicion is not None and suspicion.leaving
         )
-        askable = self._sources.permits.may_call_for_duty(target.name)
+        askable = self._inputs.permits.may_call_for_duty(target.name)
         withheld = not askable and not engine.failures
         layers = engine.ordered
         if layers is None:
-            # One that wants no questions now serves what it is known to hold.
+            # An engine that must not be asked now keeps the layers that were
+            # last reported.
             layers = (
                 report.layers
                 if report is not None
-                else self._sources.holdings.read(target).layers
+                else self._inputs.holdings.read(target).layers
             )
         return EngineState(
             target=target.name,
             data_centre=target.data_centre,
             accelerator=target.accelerator,
             layers=layers,
-            # An engine is lost when it gives no reports.  A suspicion
-            # alone may come from a cut between two others.
+            # An engine counts as failed when it sends no reports.  A
+            # suspicion alone may result from a broken link between two other
+            # processes.
             usable=(report is not None or withheld) and not leaving,
             movable=engine.ordered is None
             and askable
             and report is not None
             and not report.loading,
-            requests=self._sources.loads.read(target.name).requests,
+            requests=self._inputs.loads.read(target.name).requests,
             settled=engine.ordered is None,
             foreign=engine.ordered is None
             and report is not None
             and report.loading,
         )
 
-    async def _order(
+    async def _send_order(
         self, target: ListedTarget, engine: _Engine, item: PlacedLayers
     ) -> None:
-        if not self._sources.permits.try_call_for_duty(target.name):
-            engine.forget_order()
+        if not self._inputs.permits.try_call_for_duty(target.name):
+            engine.clear_order()
             return
         report = engine.report
-        passing = self._sources.loads.read(target.name).requests
+        in_progress = self._inputs.loads.read(target.name).requests
         result = "lost"
-        self._note_giving_up(target, report, item)
+        self._announce_released_layers(target, report, item)
         with trio.move_on_after(_ANSWER_TIMEOUT):
             try:
-                result = await self._sources.calls.place(
+                result = await self._inputs.calls.place(
                     target,
                     item.layers,
-                    # The data centre has no path while it waits for what
-                    # passes through; what is cut off is led around the
-                    # engine sooner.
+                    # The data centre has no path while it waits for requests
+                    # in progress to complete; interrupted requests are
+                    # rerouted around the engine sooner.
                     interrupt=item.closes_gap,
                     orders=report.orders if report else None,
                 )
-            except TargetError as why:
-                result = f"lost: {why}"
-        self._sources.recorder.record(
+            except TargetError as exc:
+                result = f"lost: {exc}"
+        self._inputs.recorder.record(
             "order-given",
             target=target.name,
             layers=_describe(item.layers),
             closes_gap=item.closes_gap,
             held=_describe(report.layers if report else None),
-            requests=passing,
+            requests=in_progress,
             orders=report.orders if report else None,
             result=str(result),
             fence=self._leadership.fence,
         )
         if result in (OrderResult.CONFLICT, OrderResult.REFUSED):
-            # Another order came first; the next report tells which.
-            engine.forget_order()
-            engine.asked_at = -1e9
+            # Another order came first; the next report shows its layers.
+            engine.clear_order()
+            engine.report_requested_at = -1e9
 
-    def _note_giving_up(
+    def _announce_released_layers(
         self,
         target: ListedTarget,
         report: EngineReport | None,
         item: PlacedLayers,
     ) -> None:
-        """Tell everybody at once which layers the engine gives up."""
-        held = report.layers if report else None
-        kept = held.intersect(item.layers) if held else None
-        moving = item.closes_gap and kept != held
+        """Publish at once which layers the engine gives up."""
+        loaded = report.layers if report else None
+        kept = loaded.intersect(item.layers) if loaded else None
+        moving = item.closes_gap and kept != loaded
         holding = Holding(kept, True, moving=moving)
-        if self._sources.holdings.note(target.name, holding):
-            self._sources.publish_status()
+        if self._inputs.holdings.note(target.name, holding):
+            self._inputs.publish_status()
 
 
 def _describe(layers: LayerRange | None) -> str:
--- a/magnoliacove/placement/leadership.py
+++ b/magnoliacove/placement/leadership.py
@@ -1,4 +1,4 @@
-"""Who does the placement duty: the holder of a lease, or a stand-in."""
+"""Election of the placement leader: a lease holder or a substitute."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -19,101 +19,110 @@
 ]
 
 LEASE = "placement"
-# A lease that is not renewed for LEASE_SECONDS may be taken.  Three renewals
-# fit in, so one lost answer of the store costs nothing, and a holder that
-# died is followed before its engines' requests have all been given up.
+# Seconds without renewal after which another gateway may take the lease.
+# Three renewals fit into this time, so one lost answer of the store has no
+# effect, and a failed leader is replaced before all requests of its failed
+# engines have been abandoned.
 LEASE_SECONDS = 2.5
-_RENEW_EVERY = 0.8
-# A try to renew or take it that takes longer counts as failed, seconds.  A
-# slow store takes half of this for the two calls of a try.
+# Seconds between renewals.
+_RENEW_INTERVAL = 0.8
+# Seconds after which an attempt to renew or take the lease counts as failed.
+# A slow store takes half of this for the two calls of an attempt.
 _RENEW_TIMEOUT = 0.6
-# How often a lease is looked at whose holder's heartbeats are heard, seconds.
-# When they stop it is looked at at once.
-_LOOK_EVERY = 30.0
-# The store is taken for away so long after the first call that failed,
-# seconds.  A holder learns of an outage from its next renewal, 1.4 s after
-# the last one at the latest, and goes on if the store counts as away before
-# it stops trusting its lease, 2 s after that; else nobody places layers until
-# another has found out.
+# Seconds between checks of a lease while heartbeats of its holder arrive.
+# When they stop, the lease is checked at once.
+_CHECK_INTERVAL = 30.0
+# Seconds after the first failed call from which on the store counts as
+# unreachable.  A leader detects an outage with its next renewal, at most 1.4 s
+# after the previous one.  It continues if the store counts as unreachable
+# before it stops trusting its lease, 2 s after that renewal; otherwise no
+# gateway places layers until another one detects the outage.
 STORE_OUTAGE_SECONDS = 0.5
 
 
 @dataclass(frozen=True)
 class LeadershipInputs:
-    """What decides who does the duty, beside the lease.
-
-    :param read_store_silence: seconds since the store was lost, else 0.
-    :param note_answered: called when the store answered.
-    :param note_lost: called with the reason when it did not.
-    :param is_first_peer: whether no live gateway goes before this one.
-    :param is_done_elsewhere: whether a live peer says that it does it.
-    :param is_replaced: whether a live peer does it that reaches the store.
+    """What decides which gateway is the leader, besides the lease.
+
+    :param read_store_silence: returns the seconds since the store became
+        unreachable, 0 while it is reachable.
+    :param is_first_peer: whether no live gateway sorts before this one.
+    :param has_peer_leader: whether a live peer announces that it leads.
+    :param is_superseded: whether a live peer that reaches the store leads.
+    :param record_store_answer: called when the store answered.
+    :param record_store_failure: called with the reason when the store did
+        not answer.
     """
 
     read_store_silence: Callable[[], float]
     is_first_peer: Callable[[], bool]
-    is_done_elsewhere: Callable[[], bool]
-    is_replaced: Callable[[], bool]
-    note_answered: Callable[[], None]
-    note_lost: Callable[[str], None]
+    has_peer_leader: Callable[[], bool]
+    is_superseded: Callable[[], bool]
+    record_store_answer: Callable[[], None]
+    record_store_failure: Callable[[str], None]
 
 
 class Leadership:
-    """One gateway's part in who does the duty.
+    """Whether this gateway is the placement leader.
 
-    :param acting: whether this gateway does it now.
-    :param since: by trio's clock, when that changed last.
+    :param acting: whether this gateway leads now.
+    :param since: when `acting` last changed, by trio's clock.
     """
 
     def __init__(
-        self, sources: LeadershipInputs, lease: Lease, recorder: Recorder
+        self, inputs: LeadershipInputs, lease: Lease, recorder: Recorder
     ) -> None:
         self.acting = False
         self.since = 0.0
-        self._sources = sources
+        self._inputs = inputs
         self._lease = lease
         self._recorder = recorder
         self._leaving = False
 
     @property
     def fence(self) -> int:
-        """The fencing number of the lease while it is held, else 0."""
+        """The fencing token of the lease while it is held, else 0."""
         return self._lease.fence
 
     async def run(self) -> None:
-        """Take or renew the lease until this process leaves."""
+        """Take or renew the lease until :meth:`release` is called."""
         while not self._leaving:
             await self._try_take()
             await self._pause()
         await trio.sleep_forever()
 
     async def _try_take(self) -> None:
-        sources = self._sources
+        inputs = self._inputs
         try:
             with trio.move_on_after(_RENEW_TIMEOUT) as scope:
                 await self._lease.try_take()
-        except errors.PlatformError as why:
-            sources.note_lost(str(why))
+        except errors.PlatformError as exc:
+            inputs.record_store_failure(str(exc))
             return
         if scope.cancelled_caught:
-            sources.note_lost(f"no answer on the lease in {_RENEW_TIMEOUT} s")
+            inputs.record_store_failure(
+                f"no answer on the lease in {_RENEW_TIMEOUT} s"
+            )
             return
-        sources.note_answered()
+        inputs.record_store_answer()
 
     async def release(self) -> None:
-        """Give the duty up for good, so that another takes it at once."""
+        """Give up leadership for good, so that another gateway takes over."""
         self._leaving = True
         self.acting = False
         with trio.move_on_after(defaults.STORE_TIMEOUT):
             await self._lease.release()
 
     def decide(self) -> bool:
-        """Find out whether to act; return whether that has changed."""
-        sources = self._sources
-        away = sources.read_store_silence() > STORE_OUTAGE_SECONDS
+        """Update :attr:`acting`; return whether it has changed."""
+        inputs = self._inputs
+        unreachable = inputs.read_store_silence() > STORE_OUTAGE_SECONDS
         acting = not self._leaving and (
             self._lease.held
-            or (away and (self._goes_on() or sources.is_first_peer()))
+            or (
+                unreachable
+                and (self._may_continue() or inputs.is_first_peer())
+            )
         )
         if acting == self.acting:
             return False
@@ -121,7 +130,7 @@
         self.since = trio.current_time()
         why = "the lease is not held"
         if acting:
-            why = "the store is away"
+            why = "the store is unreachable"
         if self._lease.held:
             why = "the lease is held"
         self._recorder.record(
@@ -131,27 +140,29 @@
         )
         return True
 
-    def _goes_on(self) -> bool:
-        """Return whether the holder acts on while the store is away.
+    def _may_continue(self) -> bool:
+        """Return whether the leader continues without reaching the store.
 
-        The store may turn only some instances away.  Another then takes the
-        lapsed lease, and both would plan from different reports and move
-        the same engines to and fro.  The one that reaches the store stays.
+        The store may be unreachable from some instances only.  Another
+        gateway then takes the expired lease, and both would plan from
+        different reports and move the same engines back and forth.  The
+        gateway that reaches the store remains the leader.
         """
-        return self.acting and not self._sources.is_replaced()
+        return self.acting and not self._inputs.is_superseded()
 
     async def _pause(self) -> None:
-        """Wait until the lease is to be looked at, or renewed, again.
+        """Wait until the next check or renewal of the lease.
 
-        While a peer says that it does the duty there is little to see;
-        looks of all others were half of all calls to the store.
+        While a peer announces that it leads, the lease is checked rarely:
+        frequent checks by all other gateways made up half of all calls to the
+        store.
         """
         if self._lease.held:
-            await trio.sleep(_RENEW_EVERY)
+            await trio.sleep(_RENEW_INTERVAL)
             return
-        until = trio.current_time() + _LOOK_EVERY
-        await trio.sleep(_RENEW_EVERY / 2)
+        until = trio.current_time() + _CHECK_INTERVAL
+        await trio.sleep(_RENEW_INTERVAL / 2)
         while trio.current_time() < until and not self._leaving:
-            if not self._sources.is_done_elsewhere():
+            if not self._inputs.has_peer_leader():
                 return
-            await trio.sleep(_RENEW_EVERY / 2)
+            await trio.sleep(_RENEW_INTERVAL / 2)
--- a/tests/placement/test_capacity.py
+++ b/tests/placement/test_capacity.py
@@ -1,4 +1,4 @@
-"""For how many requests a path has room: pace against width."""
+"""The capacity of a path: time per token against concurrent requests."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -14,7 +14,7 @@
     "l40s": Accelerator("l40s", 43_200, 5.6, 2.7),
     "l4": Accelerator("l4", 21_600, 16.0, 8.2),
 }
-_GATES = make_shape(
+_SHAPE = make_shape(
     token_mb=1.836,
     step=0.00102,
     step_per_request=1.428e-5,
@@ -23,8 +23,9 @@
     usual_answer=200.0,
     accelerators=_LARGE,
 )
-# Each with its engines, the room and how many engines its path is to have.
-_CENTRES = [
+# For each data centre: its engines, the minimum and maximum capacity, and the
+# maximum number of engines on its path.
+_DATA_CENTRES = [
     ({"a100": 1, "l40s": 3, "l4": 8}, 20, 28, 4),
     ({"a100": 1, "l40s": 6, "l4": 5}, 32, 40, 5),
     ({"a100": 2, "l40s": 2, "l4": 5}, 28, 36, 4),
@@ -35,43 +36,44 @@
     return [kind for kind, count in counts.items() for _ in range(count)]
 
 
-@pytest.mark.parametrize(("counts", "least", "most", "engines"), _CENTRES)
-def test_slow_engines_come_into_a_path_only_for_what_they_add(
+@pytest.mark.parametrize(("counts", "least", "most", "engines"), _DATA_CENTRES)
+def test_a_path_includes_slow_engines_only_if_throughput_grows(
     counts, least, most, engines
 ):
-    """The load: 40 streams a second of 200 tokens, engines lost all day.
-    With room for 57 requests the quick engines hold too few layers and up
-    to four slow ones come into each path.  It carries hardly more than with
-    30, but a stream takes up to twice as long, so twice as many of the long
-    ones meet the loss of an engine and come late.
+    """The load is 40 streams a second of 200 tokens while engines fail all
+    day.  With capacity for 57 requests the fast engines load too few layers,
+    so each path includes up to four slow ones.  Its throughput is hardly
+    higher than with 30, but a stream takes up to twice as long, so twice as
+    many of the long streams are late because of an engine failure.
     """
     kinds = _list_kinds(counts)
-    chosen = capacity.choose_capacity(kinds, _GATES)
+    chosen = capacity.choose_capacity(kinds, _SHAPE)
     assert least <= chosen <= most
     assert _count_path(kinds, chosen) <= engines
-    best = max(capacity.estimate_rate(kinds, _GATES, n) for n in range(4, 58))
-    assert capacity.estimate_rate(kinds, _GATES, chosen) >= 0.79 * best
+    best = max(capacity.estimate_rate(kinds, _SHAPE, n) for n in range(4, 58))
+    assert capacity.estimate_rate(kinds, _SHAPE, chosen) >= 0.79 * best
 
 
 def _count_path(kinds, streams):
-    held, used = 0, 0
+    covered, used = 0, 0
     order = sorted(
         kinds,
         key=lambda kind: capacity.estimate_layer_seconds(
-            _GATES, kind, streams
+            _SHAPE, kind, streams
         ),
     )
     for kind in order:
-        if held < 80:
-            held += capacity.count_layers(_GATES, kind, streams)
+        if covered < 80:
+            covered += capacity.count_layers(_SHAPE, kind, streams)
             used += 1
     return used
 
 
-def test_engines_that_make_several_paths_have_the_most_room():
-    """The same customer with 52 engines and four times the requests.  The
-    slow engines make whole paths too; with less room on the quick ones the
-    requests beyond it went there, and first events took 0.6 s, not 0.1 s.
+def test_engines_that_form_several_paths_have_maximum_capacity():
+    """The same load with 52 engines and four times the requests.  The slow
+    engines form complete paths too.  With less capacity on the fast engines,
+    the requests beyond it go to the slow paths, and first events take 0.6 s
+    instead of 0.1 s.
     """
     grown = make_shape(
         token_mb=0.786,
@@ -93,7 +95,7 @@
         {kind: st.integers(0, 9) for kind in sorted(KINDS)}
     )
 )
-def test_there_is_room_for_what_fits(counts):
+def test_the_chosen_capacity_fits_in_memory(counts):
     kinds, shape = _list_kinds(counts), make_shape()
     chosen = capacity.choose_capacity(kinds, shape)
     most = capacity.find_max_capacity(kinds, shape)
--- a/tests/placement/test_controller.py
+++ b/tests/placement/test_controller.py
@@ -1,4 +1,4 @@
-"""The placement duty: reports, orders, losses, and who does it."""
+"""The placement controller: reports, orders, failures and leadership."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -35,7 +35,7 @@
 
 @dataclass
 class _Engine:
-    """An engine that takes orders, late or never if told so."""
+    """An engine that applies orders; it may be dead or lose its answers."""
 
     kind: str
     layers: object = None
@@ -47,7 +47,7 @@
 
 
 class _Engines:
-    """Stands in for the calls to all engines."""
+    """A fake of the calls to all engines."""
 
     def __init__(self):
         self.all = {}
@@ -97,20 +97,20 @@
 
 
 class _Fleet:
-    """Engines of one data centre and the gateways that place on them."""
+    """Engines of one data centre and the gateways that place layers."""
 
     def __init__(self, nursery, kinds=("h100", "a100s", *["l4"] * 8)):
         self.nursery = nursery
         self.calls = _Engines()
         self.store = object_api.ObjectStore()
-        self.away = False
-        self.replaced = False
-        self.told = []
+        self.store_unreachable = False
+        self.superseded = False
+        self.store_outcomes = []
         self.lists = []
         self.healths = []
         self.books = []
         self.permits = []
-        self.duties = {}
+        self.gateways = {}
         for number, kind in enumerate(kinds):
             self.calls.all[f"i-{number}"] = _Engine(kind)
 
@@ -129,29 +129,29 @@
                 )
             )
         self.lists.append(targets)
-        lost = []
+        failed_at = []
 
-        def note_lost(_):
-            self.told.append("lost")
-            lost.append(trio.current_time())
+        def record_store_failure(_):
+            self.store_outcomes.append("lost")
+            failed_at.append(trio.current_time())
 
-        def note_answered():
-            self.told.append("answered")
-            lost.clear()
+        def record_store_answer():
+            self.store_outcomes.append("answered")
+            failed_at.clear()
 
         def read_silence():
-            if self.away:
+            if self.store_unreachable:
                 return 9.0
-            return trio.current_time() - lost[0] if lost else 0.0
+            return trio.current_time() - failed_at[0] if failed_at else 0.0
 
         lead = leadership.Leadership(
             leadership.LeadershipInputs(
                 read_silence,
                 lambda: first,
                 lambda: False,
-                lambda: self.replaced,
-                note_answered,
-                note_lost,
+                lambda: self.superseded,
+                record_store_answer,
+                record_store_failure,
             ),
             directory.Lease(
                 self.store,
@@ -165,7 +165,7 @@
         self.books.append(BackpressureBook(recorder))
         self.permits.append(Permits(self.books[-1], GrantBook(name)))
         self.healths.append(Health(recorder))
-        made = controller.PlacementController(
+        placement = controller.PlacementController(
             controller.ControllerInputs(
                 targets,
                 self.healths[-1],
@@ -184,20 +184,20 @@
 
         async def run():
             with scope:
-                await made.run()
+                await placement.run()
 
         self.nursery.start_soon(run)
-        self.duties[name] = (lead, scope)
+        self.gateways[name] = (lead, scope)
         return lead
 
-    def is_whole(self):
+    def has_complete_path(self):
         held = set()
         for engine in self.calls.all.values():
             if not engine.dead and engine.layers:
                 held.update(range(engine.layers.first, engine.layers.end))
         return held == set(range(80))
 
-    def lose(self, name):
+    def kill(self, name):
         self.calls.all[name].dead = True
 
 
@@ -206,71 +206,78 @@
     return _Fleet(nursery)
 
 
-async def _wait_whole(fleet, within):
+async def _wait_for_complete_path(fleet, within):
     with trio.fail_after(within):
-        while not fleet.is_whole():
+        while not fleet.has_complete_path():
             await trio.sleep(0.05)
 
 
-async def test_a_cold_fleet_gets_a_whole_path(autojump_clock, fleet):
+async def test_a_fleet_without_layers_gets_a_complete_path(
+    autojump_clock, fleet
+):
     fleet.add_gateway("g-1")
-    await _wait_whole(fleet, 12.0)
+    await _wait_for_complete_path(fleet, 12.0)
 
 
 async def test_one_gateway_places_at_a_time(autojump_clock, fleet):
-    """Three gateways start together.  One holds the lease; the engines
-    get each order once.
+    """Three gateways start together.  One holds the lease, and each engine
+    receives one order.
     """
     leads = [fleet.add_gateway(f"g-{n}") for n in range(3)]
-    await _wait_whole(fleet, 12.0)
+    await _wait_for_complete_path(fleet, 12.0)
     assert sum(lead.acting for lead in leads) == 1
     names = [name for name, _ in fleet.calls.given]
     assert len(names) == len(set(names))
 
 
 @pytest.mark.parametrize("lost", ["i-0", "i-1", "i-2", "i-5"])
-async def test_a_lost_engine_is_made_good(autojump_clock, fleet, lost):
-    """An engine dies without a word.  Its reports fail, and what it held
-    is placed on others; its entry is still listed meanwhile.
+async def test_layers_of_a_failed_engine_are_replaced(
+    autojump_clock, fleet, lost
+):
+    """An engine ends without notice.  Its reports fail, and its layers are
+    placed on other engines while its entry is still listed.
     """
     fleet.add_gateway("g-1")
-    await _wait_whole(fleet, 12.0)
+    await _wait_for_complete_path(fleet, 12.0)
     await trio.sleep(3.0)
-    fleet.lose(lost)
+    fleet.kill(lost)
     await trio.sleep(1.0)
-    await _wait_whole(fleet, 9.0)
+    await _wait_for_complete_path(fleet, 9.0)
 
 
-async def test_a_lost_answer_gives_no_second_order(autojump_clock, fleet):
-    """Engines take orders but their answers are lost.  The report shows
-    the load, so the order is not given again.
+async def test_a_lost_answer_causes_no_second_order(autojump_clock, fleet):
+    """Engines apply orders but their answers are lost.  The next report
+    shows the load, so the order is not repeated.
     """
     for engine in fleet.calls.all.values():
         engine.loses_answers = True
     fleet.add_gateway("g-1")
-    await _wait_whole(fleet, 12.0)
+    await _wait_for_complete_path(fleet, 12.0)
     names = [name for name, _ in fleet.calls.given]
     assert len(names) == len(set(names))
 
 
-async def test_the_duty_passes_on_when_its_holder_dies(autojump_clock, fleet):
+async def test_another_gateway_takes_over_when_the_leader_ends(
+    autojump_clock, fleet
+):
     fleet.add_gateway("g-1")
-    await _wait_whole(fleet, 12.0)
+    await _wait_for_complete_path(fleet, 12.0)
     fleet.add_gateway("g-2")
     await trio.sleep(1.0)
-    fleet.duties["g-1"][1].cancel()
-    fleet.lose("i-3")
-    fleet.lose("i-4")
+    fleet.gateways["g-1"][1].cancel()
+    fleet.kill("i-3")
+    fleet.kill("i-4")
     await trio.sleep(4.0)
-    assert fleet.duties["g-2"][0].acting
-    await _wait_whole(fleet, 9.0)
+    assert fleet.gateways["g-2"][0].acting
+    await _wait_for_complete_path(fleet, 9.0)
 
 
-async def test_an_engine_with_a_limit_is_asked_within_it(
+async def test_reports_stay_within_the_rate_limit_of_an_engine(
     autojump_clock, fleet
 ):
-    """Reports were asked for twice a second of an engine that had named 1.1
-    requests a second for all gateways: most of what it takes.
+    """Guards against reports that use up most of an engine's rate limit:
+    two requests a second of an engine that announced 1.1 requests a second
+    for all gateways.
     """
     fleet.add_gateway("g-1")
     await trio.sleep(12)
@@ -280,12 +287,12 @@
     assert fleet.calls.asked["i-0"] - asked <= 20 * 1.2 / 4 + 1
 
 
-async def test_an_engine_that_is_not_asked_keeps_its_layers(
+async def test_an_engine_that_cannot_be_asked_keeps_its_layers(
     autojump_clock, nursery
 ):
-    """The duty passes on while an engine has a limit, and its new holder may
-    not ask it at once.  Taken for one that holds nothing, its layers would be
-    placed on other engines, which give up theirs.
+    """Leadership changes while an engine has a rate limit, so the new leader
+    may not ask it at once.  If it counted as an engine without layers, its
+    layers would be placed on other engines, which would give up theirs.
     """
     fleet = _Fleet(nursery, ("h100", "a100s", *["l4"] * 6))
     fleet.add_gateway("g-1")
@@ -297,16 +304,16 @@
     listed = fleet.lists[1].find("i-0")
     layers = fleet.calls.all["i-0"].layers
     fleet.lists[1].apply(replace(listed, layers=layers, revision=2))
-    fleet.duties["g-1"][1].cancel()
+    fleet.gateways["g-1"][1].cancel()
     await trio.sleep(12)
-    assert fleet.duties["g-2"][0].acting
+    assert fleet.gateways["g-2"][0].acting
     assert len(fleet.calls.given) == given
-    assert fleet.is_whole()
+    assert fleet.has_complete_path()
 
 
-async def test_a_stopping_holder_hands_over_at_once(autojump_clock, fleet):
+async def test_a_stopping_leader_hands_over_at_once(autojump_clock, fleet):
     first = fleet.add_gateway("g-1")
-    await _wait_whole(fleet, 12.0)
+    await _wait_for_complete_path(fleet, 12.0)
     second = fleet.add_gateway("g-2")
     await trio.sleep(1.0)
     await first.release()
@@ -316,70 +323,70 @@
     assert not first.acting
 
 
-async def test_without_the_store_one_goes_on(autojump_clock, fleet):
-    """The store goes away for good.  The holder goes on although its
-    lease lapses, the other one does not act as well, and a lost engine is
-    made good.
+async def test_the_leader_continues_without_the_store(autojump_clock, fleet):
+    """The store becomes unreachable for good.  The leader continues although
+    its lease expires, the other gateway does not act as well, and a failed
+    engine is replaced.
     """
     first = fleet.add_gateway("g-1")
-    await _wait_whole(fleet, 12.0)
+    await _wait_for_complete_path(fleet, 12.0)
     second = fleet.add_gateway("g-2")
     await trio.sleep(1.0)
-    fleet.away = fleet.store.faults.outage = True
+    fleet.store_unreachable = fleet.store.faults.outage = True
     await trio.sleep(6.0)
     assert first.acting
     assert not second.acting
-    fleet.lose("i-1")
+    fleet.kill("i-1")
     await trio.sleep(1.0)
-    await _wait_whole(fleet, 9.0)
+    await _wait_for_complete_path(fleet, 9.0)
 
 
-async def test_a_holder_that_the_store_turns_away_gives_way(
+async def test_a_leader_that_cannot_reach_the_store_yields_to_one_that_can(
     autojump_clock, fleet
 ):
-    """The store turns the holder away and serves another gateway, which
-    takes the lapsed lease.  Both would place layers from reports of their
-    own; the former one stops as soon as it hears of the other.
+    """The store refuses the leader but serves another gateway, which takes
+    the expired lease.  Both would place layers from reports of their own, so
+    the former leader stops as soon as it receives the other's announcement.
     """
     first = fleet.add_gateway("g-1")
-    await _wait_whole(fleet, 12.0)
-    fleet.away = fleet.store.faults.outage = True
+    await _wait_for_complete_path(fleet, 12.0)
+    fleet.store_unreachable = fleet.store.faults.outage = True
     await trio.sleep(6.0)
     assert first.acting
-    fleet.replaced = True
+    fleet.superseded = True
     await trio.sleep(0.3)
     assert not first.acting
 
 
-async def test_the_lease_s_calls_tell_that_the_store_is_away(
+async def test_lease_calls_detect_that_the_store_is_unreachable(
     autojump_clock, fleet
 ):
-    """The store refuses all new calls while watches go on waiting for
-    seconds.  The holder is stopped then; the others are to take over, so
-    they must learn from their looks at the lease that the store is away.
+    """The store refuses all new calls while watches still wait for seconds.
+    If the leader is stopped then, the others have to take over, so their
+    checks of the lease must detect that the store is unreachable.
     """
     fleet.add_gateway("g-1")
     await trio.sleep(1.0)
-    assert fleet.told[-1] == "answered"
+    assert fleet.store_outcomes[-1] == "answered"
     fleet.store.faults.outage = True
     await trio.sleep(1.0)
-    assert fleet.told[-1] == "lost"
+    assert fleet.store_outcomes[-1] == "lost"
     fleet.store.faults.outage = False
     await trio.sleep(1.0)
-    assert fleet.told[-1] == "answered"
+    assert fleet.store_outcomes[-1] == "answered"
 
 
 @pytest.mark.parametrize("fault", ["outage", "delay"])
 @pytest.mark.parametrize("after", [0.0, 0.3, 0.7])
-async def test_the_holder_goes_on_without_a_break(
+async def test_the_leader_continues_without_interruption(
     autojump_clock, fleet, fault, after
 ):
-    """The store goes away, refusing calls or silent.  The lease lapses, but
-    the holder knows by then that the store is away and goes on: a break of
-    1.5 s left gaps in the paths of two data centres for as long.
+    """The store refuses calls or does not answer, and the lease expires.  The
+    leader has to detect the outage before that and continue: an interruption
+    of 1.5 s leaves gaps in the paths of two data centres for as long.
     """
     lead = fleet.add_gateway("g-1")
-    await _wait_whole(fleet, 12.0)
+    await _wait_for_complete_path(fleet, 12.0)
     await trio.sleep(1.0 + after)
     setattr(fleet.store.faults, fault, 9.0)
     for _ in range(120):
@@ -387,24 +394,24 @@
         assert lead.acting
 
 
-async def test_two_that_act_at_once_undo_nothing(autojump_clock, fleet):
-    """A holder wakes from a pause and orders for a moment beside its
-    successor.  Orders name the orders before them, so each engine follows
-    one of the two, and the path comes about.
+async def test_two_concurrent_leaders_undo_nothing(autojump_clock, fleet):
+    """A leader resumes after a pause and briefly sends orders at the same
+    time as its successor.  Orders state the number of previous orders, so each
+    engine applies one of the two, and the path is completed.
     """
-    fleet.away = fleet.store.faults.outage = True
+    fleet.store_unreachable = fleet.store.faults.outage = True
     for name in ("g-1", "g-2"):
         fleet.add_gateway(name, first=True)
-    await _wait_whole(fleet, 15.0)
+    await _wait_for_complete_path(fleet, 15.0)
     await trio.sleep(5.0)
-    assert fleet.is_whole()
+    assert fleet.has_complete_path()
 
 
-async def test_engines_are_not_blamed_for_the_holder_s_own_delay(nursery):
-    """The duty's holder is an instance with little processor, and is held up
-    while all engines' reports are on their way.  Taken for silence, that
-    makes all engines suspects of all gateways at once: each leads all of its
-    streams around them, which keeps the holder busy and the engines too.
+async def test_engines_are_not_suspected_for_a_delay_of_the_leader(nursery):
+    """The leader runs on an instance with little CPU and is delayed while the
+    reports of all engines are in flight.  If it counted these reports as
+    missing, all gateways would suspect all engines at once and reroute all
+    their streams, which loads the leader and the engines further.
     """
     fleet = _Fleet(nursery)
     fleet.calls.report_after = 0.05
--- a/tests/placement/test_plan.py
+++ b/tests/placement/test_plan.py
@@ -1,4 +1,4 @@
-"""Which engine holds which layers, before and after losses."""
+"""Plans of which engine loads which layers, before and after failures."""
 
 from dataclasses import replace
 
@@ -15,15 +15,16 @@
 from tests.shapes import make_shape
 
 _SHAPE = make_shape()
-# A data centre with one quick engine and many small ones, and two without.
-_PLACES = {
+# One data centre with a fast engine and many small ones, and two without a
+# fast engine.
+_DATA_CENTRES = {
     "a": {"h100": 1, "a100s": 1, "l4": 5, "t4": 7},
     "b": {"a100s": 1, "l4": 8, "t4": 3},
     "c": {"a100s": 2, "l4": 4, "t4": 7},
 }
 
 
-def _make_engines(places=_PLACES):
+def _make_engines(places=_DATA_CENTRES):
     return {
         f"{place}-{kind}-{n}": plan.EngineState(
             f"{place}-{kind}-{n}", place, kind, None
@@ -34,7 +35,7 @@
     }
 
 
-def _carry_out(engines, shape=_SHAPE):
+def _apply_plan(engines, shape=_SHAPE):
     placed = plan.make_plan(list(engines.values()), shape)
     for item in placed:
         engines[item.target] = replace(
@@ -57,104 +58,109 @@
     return used <= KINDS[engine.accelerator].memory_mb
 
 
-def test_each_data_centre_gets_a_whole_path():
+def test_each_data_centre_gets_a_complete_path():
     engines = _make_engines()
-    _carry_out(engines)
-    for place in _PLACES:
+    _apply_plan(engines)
+    for place in _DATA_CENTRES:
         assert min(_count(engines, place)) >= 1
     assert all(map(_fits, engines.values()))
     assert plan.make_plan(list(engines.values()), _SHAPE) == []
 
 
-def test_the_quick_engine_is_doubled():
-    """Without the quickest engine a third of the layers would be missing,
-    and making that good takes longest: others hold its layers too.
+def test_the_layers_of_the_fastest_engine_are_replicated():
+    """A failure of the fastest engine would remove a third of the layers, and
+    replacing it takes longest, so other engines load its layers too.
     """
     engines = _make_engines()
-    _carry_out(engines)
-    held = engines["a-h100-0"].layers
+    _apply_plan(engines)
+    layers = engines["a-h100-0"].layers
     counts = _count(engines, "a")
-    assert all(counts[n] >= 2 for n in range(held.first, held.end))
+    assert all(counts[n] >= 2 for n in range(layers.first, layers.end))
 
 
 @pytest.mark.parametrize("name", sorted(_make_engines()))
-def test_the_loss_of_any_engine_is_made_good(name):
-    """An engine is lost for good; its data centre has a whole path again
-    with at most four loads, and nothing elsewhere is touched.
+def test_the_failure_of_any_engine_is_repaired(name):
+    """An engine fails for good.  Its data centre has a complete path again
+    after at most four loads, and other data centres do not change.
     """
     engines = _make_engines()
-    _carry_out(engines)
+    _apply_plan(engines)
     place = engines.pop(name).data_centre
-    placed = _carry_out(engines)
+    placed = _apply_plan(engines)
     assert min(_count(engines, place)) >= 1
     assert len(placed) <= 4
     assert all(engines[item.target].data_centre == place for item in placed)
     assert all(map(_fits, engines.values()))
 
 
-def _measure_room(engines, place, shape=_SHAPE):
-    """Return the requests of usual length that the weakest layer holds."""
-    capacity = [0.0] * 80
+def _measure_capacity(engines, place, shape=_SHAPE):
+    """Return the requests of usual length that fit on the weakest layer."""
+    streams = [0.0] * 80
     for engine in engines.values():
         layers = engine.layers
         if engine.data_centre != place or layers is None:
             continue
-        room = shape.count_room(engine.accelerator, layers.count)
+        tokens = shape.count_room(engine.accelerator, layers.count)
         for n in range(layers.first, layers.end):
-            capacity[n] += room / layers.count / shape.usual_tokens
-    return min(capacity)
+            streams[n] += tokens / layers.count / shape.usual_tokens
+    return min(streams)
 
 
 def _list_kinds(counts):
     return [kind for kind, count in counts.items() for _ in range(count)]
 
 
-def _compare_pace(counts):
-    """Return a token's time with the room chosen, against the most room."""
+def _compare_token_time(counts):
+    """Return the time per token at chosen relative to maximum capacity."""
     kinds = _list_kinds(counts)
     chosen = capacity.choose_capacity(kinds, _SHAPE)
-    most = capacity.find_max_capacity(kinds, _SHAPE)
+    maximum = capacity.find_max_capacity(kinds, _SHAPE)
     seconds = [
-        n / capacity.estimate_rate(kinds, _SHAPE, n) for n in (chosen, most)
+        n / capacity.estimate_rate(kinds, _SHAPE, n) for n in (chosen, maximum)
     ]
     return seconds[0] / seconds[1]
 
 
-def test_every_layer_has_room_for_as_many_requests():
-    """Calm traffic keeps 80 requests in progress in these three data
-    centres, at the pace of paths with the most room; a burst half as many
-    more.  A quick engine that holds too many layers has room for few
-    requests, and all others wait in front of it: any two of the data centres
-    are to carry what all three do, and a quarter more.
+def test_two_data_centres_carry_the_load_of_three():
+    """Normal traffic keeps 80 requests in progress in these three data
+    centres, at the time per token of paths with maximum capacity; a burst
+    adds half as many.  A fast engine that loads too many layers has capacity
+    for few requests, and all others queue for it.  Any two of the data
+    centres have to carry the load of all three, plus a quarter.
     """
     engines = _make_engines()
-    _carry_out(engines)
-    measured = sorted(_measure_room(engines, place) for place in _PLACES)
-    in_progress = 80 * max(map(_compare_pace, _PLACES.values()))
+    _apply_plan(engines)
+    measured = sorted(
+        _measure_capacity(engines, place) for place in _DATA_CENTRES
+    )
+    in_progress = 80 * max(map(_compare_token_time, _DATA_CENTRES.values()))
     assert measured[0] + measured[1] >= 1.25 * in_progress
-    for place in _PLACES:
-        chosen = capacity.choose_capacity(_list_kinds(_PLACES[place]), _SHAPE)
-        assert _measure_room(engines, place) >= chosen
+    for place in _DATA_CENTRES:
+        chosen = capacity.choose_capacity(
+            _list_kinds(_DATA_CENTRES[place]), _SHAPE
+        )
+        assert _measure_capacity(engines, place) >= chosen
 
 
 @pytest.mark.parametrize("name", sorted(_make_engines()))
-def test_a_path_made_good_has_room_too(name):
-    """After a loss the data centre carries at least a third of before, so
-    new requests find room while the lost engine starts again.
+def test_a_repaired_path_has_capacity_too(name):
+    """After a failure the data centre keeps at least a third of its capacity,
+    so new requests are admitted while the failed engine restarts.
     """
     engines = _make_engines()
-    _carry_out(engines)
+    _apply_plan(engines)
     place = engines[name].data_centre
-    before = _measure_room(engines, place)
+    before = _measure_capacity(engines, place)
     del engines[name]
-    _carry_out(engines)
-    assert _measure_room(engines, place) >= before / 3
+    _apply_plan(engines)
+    assert _measure_capacity(engines, place) >= before / 3
 
 
-def test_what_is_still_being_loaded_makes_no_engine_spare():
-    """A quick engine loads layers that four small ones hold.  A gap opens
-    elsewhere.  Small ones that were taken for it at once left their layers
-    to an engine that was not ready, and the path was lost for seconds.
+def test_layers_still_being_loaded_make_no_engine_spare():
+    """A fast engine loads layers that four small ones serve, and a gap opens
+    elsewhere.  If a small engine closed the gap at once, its layers would
+    depend on an engine that is not ready, and the path would be interrupted
+    for seconds.
     """
     held = {
         "quick": ("h100", (0, 32), False),
@@ -176,10 +182,11 @@
     assert plan.make_plan(ready, _SHAPE)[0].target.startswith("s-")
 
 
-def test_a_gap_waits_for_what_another_gateway_is_loading():
-    """Two gateways act at once for a moment.  An engine loads what the other
-    ordered, and no report tells which layers: it may be the gap.  Moving
-    engines for it left gaps elsewhere, which both went on to close.
+def test_a_gap_waits_for_a_load_that_another_gateway_ordered():
+    """Two gateways briefly act at the same time.  An engine loads layers that
+    the other gateway ordered, and reports do not contain which: they may
+    close the gap.  Moving engines to it would leave gaps elsewhere, which
+    both gateways would then close in turn.
     """
     held = {
         "first": ("h100", (0, 32), False),
@@ -204,44 +211,44 @@
     assert plan.make_plan(settled, _SHAPE) != []
 
 
-def test_without_a_spare_engine_all_move_a_little():
-    """No engine holds layers that another holds too, and one is lost.
-    Each of the others takes over a few layers of its neighbours instead of
-    waiting for the lost one to start and to load all of its own.
+def test_without_a_spare_engine_all_ranges_shift():
+    """No layer has a second replica, and one engine fails.  Each of the others
+    takes over a few layers of its neighbours, which takes less time than
+    waiting for the failed engine to start and load all of its layers.
     """
     engines = _make_engines({"a": {"h100": 2, "l4": 2}})
-    _carry_out(engines)
+    _apply_plan(engines)
     counts = _count(engines, "a")
     assert min(counts) >= 1
     del engines["a-l4-1"]
     before = {name: engine.layers for name, engine in engines.items()}
-    placed = _carry_out(engines)
+    placed = _apply_plan(engines)
     assert min(_count(engines, "a")) >= 1
     assert all(map(_fits, engines.values()))
     for item in placed:
-        held = before[item.target]
-        kept = min(held.end, item.layers.end) - max(
-            held.first, item.layers.first
+        old = before[item.target]
+        kept = min(old.end, item.layers.end) - max(
+            old.first, item.layers.first
         )
-        assert kept >= held.count / 2
+        assert kept >= old.count / 2
 
 
-def test_a_new_engine_takes_a_gap_before_others_move():
-    engines = _make_engines({"b": _PLACES["b"]})
-    _carry_out(engines)
+def test_a_new_engine_closes_a_gap_before_others_move():
+    engines = _make_engines({"b": _DATA_CENTRES["b"]})
+    _apply_plan(engines)
     lost = engines.pop("b-l4-3")
     engines["b-l4-9"] = replace(lost, target="b-l4-9", layers=None)
-    placed = _carry_out(engines)
+    placed = _apply_plan(engines)
     assert [item.target for item in placed] == ["b-l4-9"]
     assert placed[0].closes_gap
 
 
-def test_what_is_on_the_move_stays_on_its_way():
-    """A second round before the first has ended gives no second order."""
-    engines = _make_engines({"c": _PLACES["c"]})
-    _carry_out(engines)
+def test_engines_that_are_moving_get_no_second_order():
+    """A round before the orders of the last one complete plans no changes."""
+    engines = _make_engines({"c": _DATA_CENTRES["c"]})
+    _apply_plan(engines)
     del engines["c-l4-0"]
-    placed = _carry_out(engines)
+    placed = _apply_plan(engines)
     for item in placed:
         engines[item.target] = replace(engines[item.target], movable=False)
     assert plan.make_plan(list(engines.values()), _SHAPE) == []
@@ -256,18 +263,18 @@
     st.dictionaries(st.sampled_from("abc"), _KIND_COUNTS, max_size=3),
     st.lists(st.integers(0, 60), max_size=8),
 )
-def test_no_engine_is_ever_ordered_over_its_memory(places, losses):
-    """Any engines, any of them lost, in any order.
+def test_no_order_exceeds_the_memory_of_an_engine(places, losses):
+    """Any engines fail in any order.
 
-    No order exceeds an engine's memory, every range lies in the model, and
-    one order at a time goes to an engine in each round.
+    No order exceeds an engine's memory, every range lies within the model,
+    and each engine gets at most one order per round.
     """
     engines = _make_engines(places)
     for loss in [None, *losses]:
         names = sorted(engines)
         if loss is not None and names:
             del engines[names[loss % len(names)]]
-        placed = _carry_out(engines)
+        placed = _apply_plan(engines)
         moved = [item.target for item in placed]
         assert len(moved) == len(set(moved))
         for item in placed:
@@ -275,10 +282,11 @@
             assert _fits(engines[item.target])
 
 
-def test_a_weak_layer_is_strengthened():
-    """After losses one small engine alone holds some layers, with little
-    memory left, while an idle one holds layers that others hold as well.
-    The path is as wide as its weakest layer, so the idle one moves there.
+def test_the_weakest_layer_gets_more_capacity():
+    """After failures, some layers are loaded only on one small engine with
+    little free memory, while an idle engine has layers that others have too.
+    The weakest layer limits the capacity of the path, so the idle engine
+    moves there.
     """
     engines = [
         plan.EngineState("i-1", "a", "h100", LayerRange(0, 30), requests=9),
@@ -292,13 +300,13 @@
     assert found.layers.first <= 79 < found.layers.end
     busy = [replace(engine, requests=9) for engine in engines]
     found = find_improvement(busy, _SHAPE)
-    # Giving up a layer that another holds takes no load.
+    # Giving up a layer that another engine serves loads nothing.
     assert (found.target, found.layers) == ("i-3", LayerRange(70, 80))
 
 
-def test_no_better_place_while_something_moves():
-    engines = _make_engines({"a": _PLACES["a"]})
-    _carry_out(engines)
+def test_no_improvement_while_an_engine_moves():
+    engines = _make_engines({"a": _DATA_CENTRES["a"]})
+    _apply_plan(engines)
     states = list(engines.values())
     states[0] = replace(states[0], movable=False)
     assert find_improvement(states, _SHAPE) is None
@@ -313,7 +321,7 @@
     st.integers(0, 79),
     st.integers(1, 8),
 )
-def test_running_sums_rate_a_range_as_adding_up_does(held, first, count):
+def test_prefix_sums_rate_a_range_like_a_full_measurement(held, first, count):
     engines = [
         plan.EngineState(
             f"i-{n}", "a", kind, LayerRange(start, min(80, start + 8))
@@ -332,11 +340,11 @@
     assert rated.slowness == pytest.approx(whole.slowness)
 
 
-def test_strengthening_comes_to_an_end():
-    """Each move makes the placement better, so moves do not go round."""
-    for place, kinds in _PLACES.items():
+def test_improvements_end():
+    """Each move improves the rating of the placement, so moves do not cycle."""
+    for place, kinds in _DATA_CENTRES.items():
         engines = _make_engines({place: kinds})
-        _carry_out(engines)
+        _apply_plan(engines)
         for _ in range(12):
             found = find_improvement(list(engines.values()), _SHAPE)
             if found is None:
