--- a/magnoliacove/timeline/__init__.py
+++ b/magnoliacove/timeline/__init__.py
@@ -1,4 +1,4 @@
-"""The time line of events over all processes."""
+"""Events of all processes and their causal order."""
 
 from magnoliacove.timeline.clock import Clock
 from magnoliacove.timeline.clock import make_reading
--- a/magnoliacove/timeline/clock.py
+++ b/magnoliacove/timeline/clock.py
@@ -1,9 +1,9 @@
-"""A hybrid logical clock, so that events of many processes can be ordered.
+"""A hybrid logical clock that orders events of many processes.
 
 A reading is one 64-bit number: milliseconds since the epoch in the upper
-48 bits and a counter in the lower 16.  Each message between our processes
-carries a reading, so an effect is never ordered before its cause even when
-the wall clocks of two instances disagree.
+48 bits and a counter in the lower 16.  Each message between processes carries
+a reading, so an effect is never ordered before its cause even when the wall
+clocks of two instances differ.
 """
 
 from collections.abc import Callable
@@ -13,9 +13,10 @@
 
 _COUNTER_BITS = 16
 _COUNTER_MASK = (1 << _COUNTER_BITS) - 1
-# A reading further ahead than this is not followed.  One instance whose
-# clock is years off would otherwise drag every other clock with it, and
-# keys would look as if they were minted in the past for good.
+# Maximum milliseconds by which a received reading may be ahead of the wall
+# clock; others are ignored.  Otherwise one instance whose clock is years ahead
+# would advance all other clocks, and new idempotency keys would appear to be
+# from the past permanently.
 MAX_AHEAD_MS = 60_000
 
 
@@ -30,10 +31,11 @@
 
 
 class _SteadyWallClock:
-    """The wall clock at start, carried on by the monotonic clock.
+    """The wall clock at process start, advanced by the monotonic clock.
 
-    A wall clock that is set back while we run would let a key that was
-    minted before an agent's start pass as a newer one.
+    If the clock followed a wall clock that is set back while the process
+    runs, an idempotency key from before an agent's start would count as a
+    newer one.
     """
 
     def __init__(self) -> None:
@@ -55,18 +57,18 @@
         self._last = 0
 
     def now(self) -> int:
-        """Return a reading later than every one before it."""
+        """Return a reading later than all previous ones."""
         wall = make_reading(int(self._read_time() * 1000))
         self._last = max(wall, self._last + 1)
         return self._last
 
     def observe(self, reading: int) -> None:
-        """Move past a reading that came with a message."""
+        """Advance the clock past a reading received with a message."""
         limit = make_reading(int(self._read_time() * 1000) + MAX_AHEAD_MS)
         if reading > limit:
             return
         self._last = max(self._last, reading)
 
     def seconds(self) -> float:
-        """Return the present reading as seconds since the epoch."""
+        """Return the current reading as seconds since the epoch."""
         return split_reading(self.now())[0] / 1000
--- a/magnoliacove/timeline/events.py
+++ b/magnoliacove/timeline/events.py
@@ -1,7 +1,7 @@
-"""Events of one process: a bounded ring, the JSON lines, the subscribers.
+"""Events of one process: a ring buffer, JSON lines and subscribers.
 
-Nothing is kept on disk, so the ring is what an operator can still ask for
-after the fact.
+Events are not stored on disk, so an operator can query past events only as
+far as the ring buffer reaches.
 """
 
 from collections import deque
@@ -23,16 +23,16 @@
 
 @dataclass(frozen=True)
 class Event:
-    """One thing that a process did or saw.
+    """One action or observation of a process.
 
     :param clock: a hybrid logical clock reading.
     :param process: the name of the process.
-    :param kind: what happened, for example ``stage-lost``.
-    :param request: the request it belongs to, in hexadecimal, or "".
-    :param target: the target it belongs to, or "".
+    :param kind: the event kind, for example ``stage-lost``.
+    :param request: the request that it concerns, in hexadecimal, or "".
+    :param target: the target that it concerns, or "".
     :param version: the configuration version in force at that time.
-    :param why: the cause, in words.
-    :param detail: further values.
+    :param why: the cause, as text.
+    :param detail: further fields by name.
     """
 
     clock: int
@@ -46,7 +46,7 @@
 
     @property
     def targets(self) -> tuple[str, ...]:
-        """The targets that the event tells of; some kinds tell of many."""
+        """The targets that the event concerns; some kinds list several."""
         return (self.target, *self.detail.get("targets", ()))
 
     def to_json(self) -> str:
@@ -55,15 +55,15 @@
 
     @classmethod
     def from_json(cls, line: str) -> "Event":
-        """Return the event that a JSON object describes.
+        """Return the event that a line with a JSON object describes.
 
         :raises ValueError: when the line is not an event.
         """
         data = json.loads(line)
         if not isinstance(data, dict) or "kind" not in data:
             raise ValueError("the line is JSON but not an event")
-        known = {k: data[k] for k in cls.__dataclass_fields__ if k in data}
-        return cls(**known)
+        values = {k: data[k] for k in cls.__dataclass_fields__ if k in data}
+        return cls(**values)
 
 
 class Recorder:
@@ -71,6 +71,7 @@
 
     :param process: the name of the process.
     :param clock: the process's clock.
+    :param kept: the size of the ring buffer, in events.
     """
 
     def __init__(
@@ -95,7 +96,7 @@
         why: str = "",
         **detail: Any,
     ) -> Event:
-        """Record one event and pass it on to followers and the log."""
+        """Record one event and send it to followers and the log."""
         name = request if isinstance(request, str) else request.hex()
         event = Event(
             self.clock.now(),
@@ -113,15 +114,15 @@
             try:
                 follower.send_nowait(event)
             except (trio.WouldBlock, trio.BrokenResourceError):
-                # A follower that reads too slowly loses events rather
-                # than holding up the process that it watches.
+                # A follower that reads too slowly loses events, so that it
+                # does not delay the process that it observes.
                 continue
         return event
 
     def list_events(
         self, *, request: str = "", target: str = ""
     ) -> list[Event]:
-        """Return the kept events, oldest first, that match."""
+        """Return the events in the ring buffer that match, oldest first."""
         return [
             event
             for event in self._ring
@@ -130,13 +131,13 @@
         ]
 
     def follow(self) -> "trio.MemoryReceiveChannel[Event]":
-        """Return a channel on which later events arrive."""
+        """Return a channel that receives all later events."""
         send, receive = trio.open_memory_channel[Event](256)
         self._followers.add(send)
         return receive
 
     def unfollow(self, channel: "trio.MemoryReceiveChannel[Event]") -> None:
-        """Stop passing events to a channel that :meth:`follow` gave."""
+        """Stop sending events to a channel that :meth:`follow` returned."""
         channel.close()
         for send in tuple(self._followers):
             if send.statistics().open_receive_channels == 0:
--- a/magnoliacove/timeline/gather.py
+++ b/magnoliacove/timeline/gather.py
@@ -1,4 +1,4 @@
-"""Putting the events of many processes into one time line."""
+"""Collection of the events of many processes in causal order."""
 
 from collections.abc import Iterable
 
@@ -12,11 +12,12 @@
 
 __all__ = ["merge_events", "query_events", "read_log"]
 
-_ASK_TIMEOUT = 3.0
+# Seconds to wait for all events of a process.
+_QUERY_TIMEOUT = 3.0
 
 
 def merge_events(parts: Iterable[Iterable[Event]]) -> list[Event]:
-    """Return all events once, in causal order."""
+    """Return all events without duplicates, in causal order."""
     unique = {
         (event.process, event.clock): event for part in parts for event in part
     }
@@ -24,20 +25,20 @@
 
 
 def read_log(lines: Iterable[str]) -> list[Event]:
-    """Return the events among JSON-lines logs; other lines are skipped.
+    """Return the events in lines of JSON logs; other lines are skipped.
 
-    What collects logs may put the time and the host before each line.
+    A log collector may prefix each line with the time and the host.
     """
-    found = []
+    events = []
     for line in lines:
         start = line.find("{")
         if start < 0:
             continue
         try:
-            found.append(Event.from_json(line[start:]))
+            events.append(Event.from_json(line[start:]))
         except (ValueError, TypeError):
             continue
-    return found
+    return events
 
 
 async def query_events(
@@ -48,12 +49,12 @@
 ) -> bool:
     """Send a process's events to a channel; return whether it answered.
 
-    With ``query.follow`` it goes on until cancelled or the process ends.
+    With ``query.follow`` this continues until cancelled or the process ends.
     """
     clock = Clock()
     complete = False
 
-    async def take(
+    async def receive(
         connection: wire.Connection, message: messages.Message
     ) -> None:
         nonlocal complete
@@ -68,12 +69,12 @@
     def hello() -> messages.Hello:
         return messages.Hello(1, "timeline", 0, "timeline", "", 0, "")
 
-    limit = float("inf") if query.follow else _ASK_TIMEOUT
-    with trio.move_on_after(limit):
+    timeout = float("inf") if query.follow else _QUERY_TIMEOUT
+    with trio.move_on_after(timeout):
         try:
             stream = await network.connect(address)
             connection = wire.Connection(stream, clock, hello)
-            await connection.run(take, lambda c: c.post(query))
+            await connection.run(receive, lambda c: c.post(query))
         except errors.Error:
             return complete
     return complete
--- a/magnoliacove/timeline/losses.py
+++ b/magnoliacove/timeline/losses.py
@@ -1,8 +1,8 @@
-"""Which requests failed or came late, in which second, and why.
+"""Classification of failed and late requests by cause.
 
-Reads the events of all processes.  Each request that is not answered in
-full and in time is given one cause, the first that the events show; one for
-which they show none is counted as unknown rather than guessed.
+The input is the events of all processes.  Each request that is not answered
+completely and in time gets one cause, the first that its events show.  A
+request whose events show no cause is counted as unknown instead of guessed.
 """
 
 from collections import defaultdict
@@ -17,20 +17,22 @@
 
 __all__ = ["Cause", "Loss", "find_losses"]
 
-# A caller of a stream leaves after two seconds without an event; one that
-# leaves much sooner had its own reasons.
-_CALLER_SILENCE = 1.5
-# A request that arrives so soon after a gateway's start waited for it.
+# Minimum seconds without an event after which the departure of a caller is
+# attributed to the path.  Callers of streams leave after two seconds without
+# an event; one that leaves much sooner had its own reasons.
+_MIN_CALLER_SILENCE = 1.5
+# Seconds after a gateway's start during which a late request is attributed to
+# the start.
 _START_SECONDS = 1.0
-# An engine counts as slow from this many times its usual time on.
-_SLOW = 1.5
-# Callers' mistakes, which nobody owes an answer in time.
-_NOT_OWED = frozenset(["unknown_key", "no_route"])
-_ENDS = frozenset(["request-answered", "request-failed", "caller-left"])
+# Minimum slowness of a slow engine, as a multiple of its usual time.
+_MIN_SLOWNESS = 1.5
+# Failure codes of callers' mistakes, which do not count as losses.
+_CALLER_ERRORS = frozenset(["unknown_key", "no_route"])
+_END_KINDS = frozenset(["request-answered", "request-failed", "caller-left"])
 
 
 class Cause(enum.StrEnum):
-    """Why a request failed or came late."""
+    """Why a request failed or was late."""
 
     GATEWAY_ENDED = "its gateway ended"
     GATEWAY_STARTED = "its gateway had just started"
@@ -54,7 +56,7 @@
     UNKNOWN = "unknown"
 
 
-# What a line's reason tells, tried in this order.
+# Patterns in an event's reason and their causes, tried in this order.
 _REASONS = (
     ("gives no report", Cause.ENGINE_LOST),
     ("no health check", Cause.ENGINE_LOST),
@@ -87,10 +89,10 @@
 
 @dataclass(frozen=True)
 class Loss:
-    """One request that failed or came late.
+    """One request that failed or was late.
 
-    :param second: of its arrival, since 1970.
-    :param late: it was answered in full, but not in time.
+    :param second: the second of its arrival, since the epoch.
+    :param late: whether it was answered completely, but not in time.
     """
 
     request: str
@@ -101,19 +103,19 @@
 
 
 def find_losses(events: Sequence[Event]) -> list[Loss]:
-    """Return the losses among the events of all processes, by arrival.
+    """Return the failed and late requests, in order of arrival.
 
-    :param events: in causal order.
+    :param events: the events of all processes, in causal order.
     """
     context = _Context(events)
     losses = []
     for own in _group(events):
-        found = _judge(own, context)
-        if found is None:
+        outcome = _classify(own, context)
+        if outcome is None:
             continue
         arrived = own[0]
         second = split_reading(arrived.clock)[0] // 1000
-        late, cause = found
+        late, cause = outcome
         losses.append(
             Loss(arrived.request, arrived.process, second, late, cause)
         )
@@ -121,34 +123,36 @@
 
 
 def _group(events: Iterable[Event]) -> list[list[Event]]:
-    """Return the events of each request whose arrival is among them."""
-    own: dict[str, list[Event]] = defaultdict(list)
+    """Return the events of each request that begin with its arrival."""
+    groups: dict[str, list[Event]] = defaultdict(list)
     for event in events:
         if event.request:
-            own[event.request].append(event)
+            groups[event.request].append(event)
     return [
-        found for found in own.values() if found[0].kind == "request-arrived"
+        group
+        for group in groups.values()
+        if group[0].kind == "request-arrived"
     ]
 
 
 class _Context:
-    """What is known beside the events of one request."""
+    """Starts of processes and suspicions of targets, over all events."""
 
     def __init__(self, events: Sequence[Event]) -> None:
         self._starts: dict[str, list[int]] = defaultdict(list)
-        self._beliefs: dict[str, list[Event]] = defaultdict(list)
+        self._suspicions: dict[str, list[Event]] = defaultdict(list)
         for event in events:
             if event.kind == "started":
                 self._starts[event.process].append(event.clock)
             elif event.kind in ("target-suspected", "target-restarted"):
-                self._beliefs[event.target].append(event)
+                self._suspicions[event.target].append(event)
 
     def started_after(self, event: Event) -> bool:
-        """Return whether a process started again after an event."""
+        """Return whether an event's process restarted after the event."""
         return any(at > event.clock for at in self._starts[event.process])
 
     def measure_age(self, event: Event) -> float:
-        """Return the seconds since the start of an event's process."""
+        """Return the seconds from the last start of an event's process."""
         now = split_reading(event.clock)[0]
         ages = [
             (now - split_reading(at)[0]) / 1000
@@ -158,39 +162,44 @@
         return min(ages, default=float("inf"))
 
     def find_reason(self, target: str, clock: int) -> str:
-        """Return why a target was believed lost, the last before a time."""
-        known = [e for e in self._beliefs[target] if e.clock <= clock]
-        if known:
-            return known[-1].why
-        # A former incarnation is named by the event of the one after it.
+        """Return the reason of the last suspicion of a target before a time.
+
+        :param clock: the time, as a clock reading.
+        """
+        earlier = [e for e in self._suspicions[target] if e.clock <= clock]
+        if earlier:
+            return earlier[-1].why
+        # The event of the next incarnation names the previous one.
         follows = f"it follows {target}"
-        for events in self._beliefs.values():
+        for events in self._suspicions.values():
             if any(e.why == follows and e.clock <= clock for e in events):
                 return follows
         return ""
 
 
-def _judge(own: list[Event], context: _Context) -> tuple[bool, Cause] | None:
-    """Return whether a request was late, and why; None for no loss."""
-    ends = [event for event in own if event.kind in _ENDS]
+def _classify(
+    own: list[Event], context: _Context
+) -> tuple[bool, Cause] | None:
+    """Return whether a request was late, and why; None if it succeeded."""
+    ends = [event for event in own if event.kind in _END_KINDS]
     if not ends:
-        ended = context.started_after(own[-1])
-        return False, Cause.GATEWAY_ENDED if ended else Cause.LOG_ENDS
+        restarted = context.started_after(own[-1])
+        return False, Cause.GATEWAY_ENDED if restarted else Cause.LOG_ENDS
     last = ends[-1]
     if last.kind == "request-failed":
         code = last.why.partition(":")[0]
-        if code in _NOT_OWED:
+        if code in _CALLER_ERRORS:
             return None
         return False, _explain_failure(code, own, context)
     if last.kind == "caller-left":
         silent = float(last.detail.get("silent", 0.0))
-        if silent < _CALLER_SILENCE:
+        if silent < _MIN_CALLER_SILENCE:
             return False, Cause.CALLER
         return False, _explain_path(own, context) or Cause.PATH_SILENT
-    return _judge_answered(own, last, context)
+    return _classify_answered(own, last, context)
 
 
-def _judge_answered(
+def _classify_answered(
     own: list[Event], last: Event, context: _Context
 ) -> tuple[bool, Cause] | None:
     objective = float(own[0].detail.get("objective", float("inf")))
@@ -200,28 +209,28 @@
         return True, _explain_call(own, context)
     if own[0].detail.get("resumes"):
         return True, Cause.RESUMED
-    pause = float(own[0].detail.get("gap_objective", float("inf")))
+    gap_objective = float(own[0].detail.get("gap_objective", float("inf")))
     first = float(last.detail["first_event"])
     if first > objective:
         return True, _explain_first(own, first, context)
-    if float(last.detail.get("longest_gap", 0.0)) > pause:
+    if float(last.detail.get("longest_gap", 0.0)) > gap_objective:
         return True, _explain_path(own, context) or _explain_slow(last)
     return None
 
 
 def _explain_failure(code: str, own: list[Event], context: _Context) -> Cause:
     if code in ("stream_failed", "timeout"):
-        found = _explain_path(own, context)
-        if found is not None:
-            return found
+        cause = _explain_path(own, context)
+        if cause is not None:
+            return cause
     return _CODES.get(code, Cause.UNKNOWN)
 
 
 def _explain_first(own: list[Event], first: float, context: _Context) -> Cause:
-    """Return why a first event came late."""
-    found = _explain_path(own, context)
-    if found is not None:
-        return found
+    """Return why a first event was late."""
+    cause = _explain_path(own, context)
+    if cause is not None:
+        return cause
     chosen = [e for e in own if e.kind == "path-chosen"]
     waited = float(chosen[0].detail.get("waited", 0.0)) if chosen else first
     if waited >= first / 2 and any(e.kind == "request-waiting" for e in own):
@@ -232,7 +241,7 @@
 
 
 def _explain_slow(last: Event) -> Cause:
-    slow = float(last.detail.get("slowness", 1.0)) >= _SLOW
+    slow = float(last.detail.get("slowness", 1.0)) >= _MIN_SLOWNESS
     return Cause.ENGINE_SLOW if slow else Cause.UNKNOWN
 
 
@@ -245,7 +254,7 @@
 
 
 def _explain_path(own: list[Event], context: _Context) -> Cause | None:
-    """Return what befell a stream's path first, None for nothing."""
+    """Return the cause of the first change of a stream's path, or None."""
     for event in own:
         if event.kind not in ("path-lost", "path-changed", "path-not-changed"):
             continue
@@ -253,13 +262,14 @@
         if lost is None:
             return _read_reason(event.why)
         reason = context.find_reason(lost[1], event.clock)
-        # Without a suspicion it was led around for the layers it gives up.
+        # Without a suspicion, the stream was rerouted because the target gives
+        # up layers.
         return _read_reason(reason) if reason else Cause.LAYERS_MOVED
     return None
 
 
 def _read_reason(why: str) -> Cause:
-    for words, cause in _REASONS:
-        if words in why:
+    for pattern, cause in _REASONS:
+        if pattern in why:
             return cause
     return Cause.UNKNOWN
--- a/magnoliacove/timeline/losses_view.py
+++ b/magnoliacove/timeline/losses_view.py
@@ -1,4 +1,4 @@
-"""Showing losses as text and as one self-contained HTML page."""
+"""Rendering of losses as text and as one self-contained HTML page."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -9,27 +9,29 @@
 
 __all__ = ["render_losses_html", "render_losses_text"]
 
-_EXAMPLES = 3
-# Pixels of a second and of a loss in the picture.
-_COLUMN = 14
-_UNIT = 3
-_CHART = 300
+# Maximum number of requests listed for each cause.
+_MAX_EXAMPLES = 3
+# Pixels: the width of a second and the height of a loss, the height of the
+# chart and its left margin.
+_COLUMN_WIDTH = 14
+_LOSS_HEIGHT = 3
+_CHART_HEIGHT = 300
 _MARGIN = 40
 
 
 def render_losses_text(losses: Sequence[Loss]) -> str:
-    """Return the losses by cause and by second."""
+    """Return a text with the losses by cause and by second."""
     if not losses:
-        return "no request failed or came late"
+        return "no request failed or was late"
     first = losses[0].second
     lines = [f"{'failed':>7} {'late':>6}  cause, with examples"]
     for cause in _rank_causes(losses):
         own = [loss for loss in losses if loss.cause is cause]
         late = sum(loss.late for loss in own)
-        shown = " ".join(loss.request for loss in own[:_EXAMPLES])
+        shown = " ".join(loss.request for loss in own[:_MAX_EXAMPLES])
         lines.append(f"{len(own) - late:>7} {late:>6}  {cause}: {shown}")
     lines.append("")
-    lines.append(f"{'second':>7} {'failed':>7} {'late':>6}  most for")
+    lines.append(f"{'second':>7} {'failed':>7} {'late':>6}  main cause")
     for second in sorted({loss.second for loss in losses}):
         own = [loss for loss in losses if loss.second == second]
         late = sum(loss.late for loss in own)
@@ -41,7 +43,7 @@
 
 
 def render_losses_html(losses: Sequence[Loss]) -> str:
-    """Return a page with a column for each second, a colour for each cause."""
+    """Return a page with a column per second and a colour per cause."""
     causes = _rank_causes(losses)
     colours = {
         cause: f"hsl({360 * n // max(1, len(causes))},65%,50%)"
@@ -59,10 +61,10 @@
         "<!doctype html><html lang='en'><head><meta charset='utf-8'>"
         "<title>Losses</title><style>body{font:13px sans-serif;margin:1em}"
         "</style></head><body><h1>Failed and late requests</h1>"
-        f"<p>A column is a second after the first loss; {_UNIT} pixels are "
-        "one request.</p>"
-        f"<svg width='{_MARGIN + columns * _COLUMN}' height='{_CHART}' "
-        f"role='img'>{bars}</svg><ul>{legend}</ul></body></html>"
+        f"<p>A column is a second after the first loss; {_LOSS_HEIGHT} pixels "
+        "are one request.</p>"
+        f"<svg width='{_MARGIN + columns * _COLUMN_WIDTH}' "
+        f"height='{_CHART_HEIGHT}' role='img'>{bars}</svg><ul>{legend}</ul></body></html>"
     )
 
 
@@ -73,11 +75,11 @@
     tops: Counter[int] = Counter()
     bars = []
     for (second, cause), count in sorted(counts.items()):
-        tops[second] += count * _UNIT
+        tops[second] += count * _LOSS_HEIGHT
         bars.append(
-            f"<rect x='{_MARGIN + second * _COLUMN}' "
-            f"y='{_CHART - tops[second]}' width='{_COLUMN - 2}' "
-            f"height='{count * _UNIT}' fill='{colours[cause]}'>"
+            f"<rect x='{_MARGIN + second * _COLUMN_WIDTH}' "
+            f"y='{_CHART_HEIGHT - tops[second]}' width='{_COLUMN_WIDTH - 2}' "
+            f"height='{count * _LOSS_HEIGHT}' fill='{colours[cause]}'>"
             f"<title>{second} s: {count}, {html.escape(cause)}</title></rect>"
         )
     return bars
@@ -86,7 +88,7 @@
 def _describe(losses: Sequence[Loss], cause: Cause) -> str:
     own = [loss for loss in losses if loss.cause is cause]
     late = sum(loss.late for loss in own)
-    shown = ", ".join(loss.request for loss in own[:_EXAMPLES])
+    shown = ", ".join(loss.request for loss in own[:_MAX_EXAMPLES])
     return (
         f"{html.escape(cause)}: {len(own) - late} failed, {late} late "
         f"({html.escape(shown)})"
@@ -94,6 +96,6 @@
 
 
 def _rank_causes(losses: Sequence[Loss]) -> list[Cause]:
-    """Return the causes, the one of most losses first."""
+    """Return the causes, the most frequent first."""
     counts = Counter(loss.cause for loss in losses)
     return sorted(counts, key=lambda cause: (-counts[cause], cause))
--- a/magnoliacove/timeline/render.py
+++ b/magnoliacove/timeline/render.py
@@ -1,4 +1,4 @@
-"""Showing a time line as text and as one self-contained HTML page."""
+"""Rendering of events as text and as one self-contained HTML page."""
 
 from collections.abc import Sequence
 from datetime import UTC
@@ -10,10 +10,12 @@
 
 __all__ = ["explain_request", "render_html", "render_text"]
 
-_ROW = 22
-_LANE = 170
+# Pixels: the height of an event, the width of a process and the left margin.
+_ROW_HEIGHT = 22
+_LANE_WIDTH = 170
 _MARGIN = 90
-_TROUBLE = ("lost", "failed", "refused", "interrupted", "broke", "unknown")
+# Words in the kinds of events that are drawn in red.
+_ERROR_WORDS = ("lost", "failed", "refused", "interrupted", "broke", "unknown")
 
 
 def _format_time(event: Event) -> str:
@@ -45,12 +47,12 @@
 
 
 def explain_request(events: Sequence[Event], request: str) -> str:
-    """Return in words what happened to one request, and what it cost."""
+    """Return a text that describes the course and the cost of a request."""
     own = [e for e in events if request and e.request.startswith(request)]
     if not own:
         return (
             f"no event of request {request} is kept; it may be older than "
-            "the processes' rings, or its name is wrong"
+            "the processes' ring buffers, or its name is wrong"
         )
     lines = [f"request {own[0].request}"]
     began = split_reading(own[0].clock)[0]
@@ -59,7 +61,7 @@
         if sentence:
             after = split_reading(event.clock)[0] - began
             lines.append(f"  +{after:>6} ms  {event.process}: {sentence}")
-    lines.append(_sum_up(own))
+    lines.append(_describe_cost(own))
     return "\n".join(lines)
 
 
@@ -96,7 +98,7 @@
                 f"{detail.get('seconds')} s"
             )
         case "path-changed":
-            return f"led along {detail.get('path')} because {why}"
+            return f"rerouted along {detail.get('path')} because {why}"
         case "path-lost":
             return (
                 f"left its path after event {detail.get('last_event') or 0} "
@@ -104,7 +106,7 @@
             )
         case "request-waiting":
             return (
-                f"waits: {why}; layer and tokens of room in each data "
+                f"waits: {why}; layer and tokens of capacity in each data "
                 f"centre: {detail.get('room')}"
             )
         case "call-sent":
@@ -124,12 +126,12 @@
         case "request-failed":
             return f"gave up: {why} (outcome {detail.get('outcome')})"
         case _:
-            words = event.kind.replace("-", " ")
-            parts = [words, event.target, f"({why})" if why else ""]
+            kind = event.kind.replace("-", " ")
+            parts = [kind, event.target, f"({why})" if why else ""]
             return " ".join(part for part in parts if part)
 
 
-def _sum_up(own: Sequence[Event]) -> str:
+def _describe_cost(own: Sequence[Event]) -> str:
     resumed = [e for e in own if e.kind == "stream-resumed"]
     spent = sum(float(e.detail.get("milliseconds", 0)) for e in resumed)
     replayed = sum(
@@ -142,8 +144,8 @@
     lost = sum(e.kind == "path-lost" for e in own)
     if changed or lost:
         return (
-            f"  cost: led around lost engines {changed} times, begun anew "
-            f"on another path {lost} times"
+            f"  cost: rerouted around failed engines {changed} times, "
+            f"restarted on another path {lost} times"
         )
     if not resumed:
         return "  cost: no recovery was needed"
@@ -157,8 +159,8 @@
     """Return a page with one lane for each process."""
     processes = sorted({event.process for event in events})
     lanes = {name: index for index, name in enumerate(processes)}
-    width = _MARGIN + _LANE * max(1, len(processes)) + 40
-    height = 60 + _ROW * (len(events) + 1)
+    width = _MARGIN + _LANE_WIDTH * max(1, len(processes)) + 40
+    height = 60 + _ROW_HEIGHT * (len(events) + 1)
     marks = [_draw_lane(name, lane, height) for name, lane in lanes.items()]
     marks.extend(
         _draw_event(event, row, lanes[event.process])
@@ -179,7 +181,7 @@
 
 
 def _draw_lane(name: str, lane: int, height: int) -> str:
-    x = _MARGIN + lane * _LANE
+    x = _MARGIN + lane * _LANE_WIDTH
     return (
         f"<line x1='{x}' y1='30' x2='{x}' y2='{height}' stroke='#bbb'/>"
         f"<text x='{x}' y='20' font-weight='bold'>{html.escape(name)}</text>"
@@ -187,9 +189,9 @@
 
 
 def _draw_event(event: Event, row: int, lane: int) -> str:
-    x, y = _MARGIN + lane * _LANE, 45 + row * _ROW
-    trouble = any(word in event.kind for word in _TROUBLE)
-    colour = "#c22" if trouble else "#269"
+    x, y = _MARGIN + lane * _LANE_WIDTH, 45 + row * _ROW_HEIGHT
+    is_error = any(word in event.kind for word in _ERROR_WORDS)
+    colour = "#c22" if is_error else "#269"
     label = f"{event.kind} {event.target}".strip()
     tip = f"{_format_time(event)} v{event.version} {event.request} "
     tip += f"{event.why} {_format_detail(event)}"
--- a/tests/placement/test_plan.py
+++ b/tests/placement/test_plan.py
@@ -341,7 +341,7 @@
 
 
 def test_improvements_end():
-    """Each move improves the rating of the placement, so moves do not cycle."""
+    """Each move improves the placement's rating, so moves do not cycle."""
     for place, kinds in _DATA_CENTRES.items():
         engines = _make_engines({place: kinds})
         _apply_plan(engines)
--- a/tests/timeline/test_losses.py
+++ b/tests/timeline/test_losses.py
@@ -1,4 +1,4 @@
-"""Failed and late requests get the cause that the log lines show."""
+"""Failed and late requests get the cause that their events show."""
 
 import json
 
@@ -15,7 +15,7 @@
 
 
 class _Log:
-    """The lines of some gateways, in order, half a second apart."""
+    """Events of some gateways, in order, half a second apart."""
 
     def __init__(self):
         self.events = []
@@ -42,9 +42,9 @@
         )
         return self
 
-    def judge(self):
-        (found,) = losses.find_losses(self.events)
-        return found.late, found.cause
+    def classify(self):
+        (loss,) = losses.find_losses(self.events)
+        return loss.late, loss.cause
 
 
 def _answer(first=0.1, gap=0.1, **more):
@@ -72,7 +72,7 @@
         ([], "", True, Cause.UNKNOWN),
     ],
 )
-def test_a_pause_has_the_cause_of_what_befell_the_path(
+def test_a_pause_has_the_cause_of_the_path_change(
     lines, suspicion, late, cause
 ):
     log = _Log().add("request-arrived", "r-1", **_ARRIVED)
@@ -81,48 +81,48 @@
     for line in lines:
         log.add(line["kind"], "r-1", why=line["why"])
     log.add("request-answered", "r-1", **_answer(gap=0.6))
-    assert log.judge() == (late, cause)
+    assert log.classify() == (late, cause)
 
 
-def test_a_pause_without_a_break_may_be_a_slow_engine():
+def test_a_pause_without_a_path_change_may_be_a_slow_engine():
     log = _Log().add("request-arrived", "r-1", **_ARRIVED)
     log.add("request-answered", "r-1", **_answer(gap=0.6, slowness=4.0))
-    assert log.judge() == (True, Cause.ENGINE_SLOW)
+    assert log.classify() == (True, Cause.ENGINE_SLOW)
 
 
-def test_an_engine_that_restarted_is_named_by_the_one_after_it():
+def test_the_event_of_the_next_incarnation_shows_a_restart():
     log = _Log().add("request-arrived", "r-1", **_ARRIVED)
     log.add("target-restarted", target="i-1@2", why="it follows i-1@1")
     log.add("path-lost", "r-1", why="i-1@1 is lost to the path")
     log.add("request-answered", "r-1", **_answer(gap=0.6))
-    assert log.judge() == (True, Cause.ENGINE_RESTARTED)
+    assert log.classify() == (True, Cause.ENGINE_RESTARTED)
 
 
-def test_a_late_first_event_has_waited_for_room_or_for_a_start():
+def test_a_late_first_event_waited_for_capacity_or_a_start():
     log = _Log().add("request-arrived", "r-1", **_ARRIVED)
     log.add("request-waiting", "r-1").add("path-chosen", "r-1", waited=0.8)
     log.add("request-answered", "r-1", **_answer(first=0.9))
-    assert log.judge() == (True, Cause.NO_ROOM)
+    assert log.classify() == (True, Cause.NO_ROOM)
     log = _Log().add("started").add("request-arrived", "r-1", **_ARRIVED)
     log.add("path-chosen", "r-1", waited=0.5)
     log.add("request-answered", "r-1", **_answer(first=0.9))
-    assert log.judge() == (True, Cause.GATEWAY_STARTED)
+    assert log.classify() == (True, Cause.GATEWAY_STARTED)
 
 
-def test_a_request_without_an_end_died_with_its_gateway():
+def test_a_request_without_an_end_ended_with_its_gateway():
     log = _Log().add("started").add("request-arrived", "r-1", **_ARRIVED)
-    assert log.judge() == (False, Cause.LOG_ENDS)
+    assert log.classify() == (False, Cause.LOG_ENDS)
     log.add("started")
-    assert log.judge() == (False, Cause.GATEWAY_ENDED)
+    assert log.classify() == (False, Cause.GATEWAY_ENDED)
 
 
 @pytest.mark.parametrize(
     ("silent", "cause"), [(0.2, Cause.CALLER), (2.1, Cause.PATH_SILENT)]
 )
-def test_a_caller_leaves_by_itself_or_for_silence(silent, cause):
+def test_a_caller_leaves_by_itself_or_because_of_a_silent_path(silent, cause):
     log = _Log().add("request-arrived", "r-1", **_ARRIVED)
     log.add("caller-left", "r-1", silent=silent)
-    assert log.judge() == (False, cause)
+    assert log.classify() == (False, cause)
 
 
 @pytest.mark.parametrize(
@@ -137,10 +137,10 @@
 def test_a_refusal_has_the_cause_of_its_code(why, cause):
     log = _Log().add("request-arrived", "r-1", **_ARRIVED)
     log.add("request-failed", "r-1", why=why)
-    assert log.judge() == (False, cause)
+    assert log.classify() == (False, cause)
 
 
-def test_what_is_in_time_or_not_owed_is_no_loss():
+def test_timely_answers_and_caller_errors_are_no_losses():
     log = _Log()
     for request, kind, values in (
         ("r-1", "request-answered", _answer()),
@@ -153,8 +153,8 @@
 
 
 def test_the_command_reads_collected_lines(tmp_path):
-    """Lines of all gateways come with the collector's time and host before
-    them; they are counted by cause and drawn.
+    """The log collector prefixes the lines of all gateways with the time and
+    the host.  The command counts the losses by cause and draws them.
     """
     log = _Log()
     for number in range(5):
--- a/tests/timeline/test_timeline.py
+++ b/tests/timeline/test_timeline.py
@@ -1,4 +1,4 @@
-"""The time line orders effects after causes and explains a request."""
+"""Events are ordered by cause and effect, and explain a request."""
 
 import json
 
@@ -20,28 +20,28 @@
 
 @given(_OFFSETS, _SENDS)
 def test_effects_come_after_causes(offsets, sends):
-    """Clocks differ by up to a minute; messages carry readings."""
+    """Clocks differ by up to a minute; messages carry clock readings."""
     now = [1.8e9]
     clocks = [
         timeline.Clock(lambda offset=offset: now[0] + offset)
         for offset in offsets
     ]
-    for one, other in sends:
-        source = clocks[one % len(clocks)]
-        sink = clocks[other % len(clocks)]
+    for sender, receiver in sends:
+        source = clocks[sender % len(clocks)]
+        sink = clocks[receiver % len(clocks)]
         sent = source.now()
         sink.observe(sent)
         assert sink.now() > sent
         now[0] += 0.001
 
 
-def test_clock_that_is_years_off_is_not_followed():
+def test_reading_years_ahead_is_ignored():
     clock = timeline.Clock(lambda: 1.8e9)
     clock.observe(timeline.make_reading(int(3e12)))
     assert clock.seconds() < 1.8e9 + 1
 
 
-def test_ring_is_bounded_and_logs_are_read():
+def test_ring_buffer_is_bounded_and_logs_are_read():
     recorder = timeline.Recorder("p", kept=10)
     for number in range(25):
         recorder.record("thing", request=f"{number:02d}")
@@ -53,7 +53,9 @@
 
 
 async def test_recovery_is_explained(autojump_clock):
-    """At 3 a.m.: who was lost, what took over, on which version, cost."""
+    """The explanation contains the lost target, the attempt that replaced it,
+    the configuration version and the cost.
+    """
     async with fakes.open_memory_fleet() as fleet:
 
         async def on_token(count):
@@ -74,7 +76,7 @@
     assert "&lt;x&gt;" in page
 
 
-async def test_command_gathers_from_processes():
+async def test_command_collects_events_of_all_processes():
     async with fleets.open_fleet() as fleet:
         caller = fleets.Caller(fleet.entries["entry-0"].made.callers_url)
         await caller.complete("lot", 4)
@@ -86,8 +88,8 @@
         def run(*more):
             return CliRunner().invoke(command._command, [*flags, *more])
 
-        found = await trio.to_thread.run_sync(run, "--json")
-        events = [json.loads(x) for x in found.stdout.splitlines()]
+        result = await trio.to_thread.run_sync(run, "--json")
+        events = [json.loads(x) for x in result.stdout.splitlines()]
         name = next(
             e["request"] for e in events if e["kind"] == "request-arrived"
         )
@@ -102,9 +104,9 @@
     assert "llm-0-0" in target.stdout
 
 
-def test_a_gateway_s_lines_explain_a_request():
-    """A stream waited for room, lost an engine and was led around it.  The
-    lines that its gateway logged say so in words, whoever reads them.
+def test_log_lines_of_a_gateway_explain_a_request():
+    """A stream waited for capacity and was rerouted around a failed engine.
+    The log lines of its gateway suffice to describe this as text.
     """
     recorder = timeline.Recorder("gateway-1")
     for kind, why, detail in (
@@ -117,18 +119,21 @@
         recorder.record(kind, request="abc", why=why, **detail)
     lines = [event.to_json() for event in recorder.list_events()]
     events = gather.read_log(["12.5 not an event", *lines])
-    told = render.explain_request(events, "abc")
-    assert "waits: no path has room" in told
-    assert "17: 0" in told
-    assert "led along i-1 i-3 because i-2 is lost" in told
-    assert "first event after 0.5 s" in told
-    assert "led around lost engines 1 times" in told
+    explanation = render.explain_request(events, "abc")
+    assert "waits: no path has room" in explanation
+    assert "17: 0" in explanation
+    assert "rerouted along i-1 i-3 because i-2 is lost" in explanation
+    assert "first event after 0.5 s" in explanation
+    assert "rerouted around failed engines 1 times" in explanation
 
 
-def test_a_target_is_found_on_a_line_that_names_many():
+def test_a_target_is_found_in_an_event_with_several_targets():
     recorder = timeline.Recorder("gateway-1")
     recorder.record("targets-listed", targets={"i-1": "llm", "i-2@5": "llm"})
     recorder.record("target-gone", target="i-1")
-    found = recorder.list_events(target="i-1")
-    assert [event.kind for event in found] == ["targets-listed", "target-gone"]
-    assert "i-2@5" in render.render_text(found)
+    events = recorder.list_events(target="i-1")
+    assert [event.kind for event in events] == [
+        "targets-listed",
+        "target-gone",
+    ]
+    assert "i-2@5" in render.render_text(events)
