--- a/magnoliacove/placement/balance.py
+++ b/magnoliacove/placement/balance.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True)
-class _Strength:
+class _Rating:
     """The rating of a placement; capacity is compared first.
 
     :param tokens: the capacity of the weakest layer in tokens, limited to
@@ -73,9 +73,9 @@
     for engine in engines:
         others = _OtherEngines(engine, engines, shape)
         for layers in _list_windows(engine, shape, weakest, current, streams):
-            strength = others.rate_with(layers, required)
-            if _is_better(strength, best, current, required):
-                best = strength
+            rating = others.rate_with(layers, required)
+            if _is_better(rating, best, current, required):
+                best = rating
                 best_move = PlacedLayers(engine.target, layers, False)
     return best_move
 
@@ -121,10 +121,10 @@
     return capacity / layers.count
 
 
-def _rate(totals: _LayerTotals, required: float) -> _Strength:
+def _rate(totals: _LayerTotals, required: float) -> _Rating:
     replicated = sum(count > 1 for count in totals.counts)
     tokens = min(min(totals.capacities), required)
-    return _Strength(tokens, replicated, sum(totals.factors))
+    return _Rating(tokens, replicated, sum(totals.factors))
 
 
 class _OtherEngines:
@@ -161,7 +161,7 @@
             min(f, factor) for f in totals.factors
         )
 
-    def rate_with(self, layers: LayerRange, required: float) -> _Strength:
+    def rate_with(self, layers: LayerRange, required: float) -> _Rating:
         """Return the rating of the placement with a range on the engine."""
         first, end = layers.first, min(layers.end, self._shape.layers)
         capacity = _count_capacity(self._engine, layers, self._shape)
@@ -181,7 +181,7 @@
             - (self._slowness[end] - self._slowness[first])
             + (self._slowness_with[end] - self._slowness_with[first])
         )
-        return _Strength(tokens, int(replicated), slowness)
+        return _Rating(tokens, int(replicated), slowness)
 
 
 def _sum_prefixes(values: Iterable[float]) -> list[float]:
@@ -190,20 +190,20 @@
 
 
 def _is_better(
-    strength: _Strength, best: _Strength, current: _Strength, required: float
+    rating: _Rating, best: _Rating, current: _Rating, required: float
 ) -> bool:
-    if strength.slowness > current.slowness + _ROUNDING:
+    if rating.slowness > current.slowness + _ROUNDING:
         # A layer would lose its fastest engine, which slows down every
         # stream; a shortage of capacity affects only a few.
         return False
-    gained = strength.tokens - current.tokens
+    gained = rating.tokens - current.tokens
     enough = gained >= _MIN_GAIN * required or (
         gained >= 0
-        and strength.replicated - current.replicated >= _MIN_REPLICATED_GAIN
+        and rating.replicated - current.replicated >= _MIN_REPLICATED_GAIN
     )
     if not enough:
         return False
-    return (strength.tokens, strength.replicated) > (
+    return (rating.tokens, rating.replicated) > (
         best.tokens,
         best.replicated,
     )
@@ -213,7 +213,7 @@
     engine: EngineState,
     shape: ModelShape,
     weakest: int,
-    current: _Strength,
+    current: _Rating,
     streams: int,
 ) -> Iterator[LayerRange]:
     """Yield layer ranges that an engine could serve instead of its own."""
--- a/magnoliacove/placement/capacity.py
+++ b/magnoliacove/placement/capacity.py
@@ -47,11 +47,11 @@
     :param accelerators: the accelerator type of each engine of the data
         centre.
     """
-    return _choose_room(tuple(sorted(accelerators)), shape)
+    return _choose_capacity(tuple(sorted(accelerators)), shape)
 
 
 @functools.lru_cache(maxsize=256)
-def _choose_room(kinds: tuple[str, ...], shape: ModelShape) -> int:
+def _choose_capacity(kinds: tuple[str, ...], shape: ModelShape) -> int:
     """Return the capacity for engines of these accelerator types.
 
     It is the smallest capacity that reaches nearly the maximum throughput, or
--- a/magnoliacove/placement/controller.py
+++ b/magnoliacove/placement/controller.py
@@ -53,7 +53,7 @@
 _SUSPECT_TIMEOUT = 0.2
 # Consecutive failed reports after which an engine is suspected; a single one
 # may be lost on a bad link.
-_MAX_FAILURES = 2
+_FAILURES_TO_SUSPECT = 2
 # Seconds without a change of the target list before the first plan.  The list
 # fills over some seconds after a start, and a placement on a part of it would
 # have to be redone.
@@ -80,7 +80,7 @@
     :param list_models: returns the services that run on engines, by name.
     :param is_settled: whether traffic has begun, so that plans do not wait
         for a stable target list.
-    :param publish_status: called when the status of engines has changed.
+    :param publish_status: called when the status of an engine has changed.
     """
 
     targets: TargetList
@@ -205,7 +205,7 @@
                 if exc.outcome is errors.Outcome.NOT_RUN:
                     # Nothing listens on its address, so no second report is
                     # needed.
-                    engine.failures = _MAX_FAILURES
+                    engine.failures = _FAILURES_TO_SUSPECT
         if report is not None:
             if self._inputs.targets.observe(
                 target.entry, report.incarnation, directly=True
@@ -216,7 +216,7 @@
                 return
             self._process_report(target, engine, report)
             return
-        refused = engine.failures >= _MAX_FAILURES
+        refused = engine.failures >= _FAILURES_TO_SUSPECT
         if not refused and was_held_up(began, timeout):
             # This process was delayed itself.  Otherwise all gateways would
             # suspect all engines with a pending report at once and reroute
@@ -224,7 +224,7 @@
             return
         engine.failures += 1
         suspected = not self._inputs.health.is_usable(target.name)
-        if engine.failures >= _MAX_FAILURES or suspected:
+        if engine.failures >= _FAILURES_TO_SUSPECT or suspected:
             engine.report = None
             self._inputs.health.suspect(target.name, "it gives no reports")
 
--- a/magnoliacove/placement/leadership.py
+++ b/magnoliacove/placement/leadership.py
@@ -21,8 +21,8 @@
 LEASE = "placement"
 # Seconds without renewal after which another gateway may take the lease.
 # Three renewals fit into this time, so one lost answer of the store has no
-# effect, and a failed leader is replaced before all requests of its failed
-# engines have been abandoned.
+# effect, and a failed leader is replaced before all requests on its engines
+# have been abandoned.
 LEASE_SECONDS = 2.5
 # Seconds between renewals.
 _RENEW_INTERVAL = 0.8
@@ -35,7 +35,7 @@
 # Seconds after the first failed call from which on the store counts as
 # unreachable.  A leader detects an outage with its next renewal, at most 1.4 s
 # after the previous one.  It continues if the store counts as unreachable
-# before it stops trusting its lease, 2 s after that renewal; otherwise no
+# before its lease ends for it, 2 s after that previous renewal; otherwise no
 # gateway places layers until another one detects the outage.
 STORE_OUTAGE_SECONDS = 0.5
 
@@ -46,7 +46,7 @@
 
     :param read_store_silence: returns the seconds since the store became
         unreachable, 0 while it is reachable.
-    :param is_first_peer: whether no live gateway sorts before this one.
+    :param is_first_peer: whether no live gateway has precedence over this one.
     :param has_peer_leader: whether a live peer announces that it leads.
     :param is_superseded: whether a live peer that reaches the store leads.
     :param record_store_answer: called when the store answered.
--- a/magnoliacove/timeline/losses_view.py
+++ b/magnoliacove/timeline/losses_view.py
@@ -64,7 +64,8 @@
         f"<p>A column is a second after the first loss; {_LOSS_HEIGHT} pixels "
         "are one request.</p>"
         f"<svg width='{_MARGIN + columns * _COLUMN_WIDTH}' "
-        f"height='{_CHART_HEIGHT}' role='img'>{bars}</svg><ul>{legend}</ul></body></html>"
+        f"height='{_CHART_HEIGHT}' role='img'>{bars}"
+        f"</svg><ul>{legend}</ul></body></html>"
     )
 
 
--- a/tests/placement/test_capacity.py
+++ b/tests/placement/test_capacity.py
@@ -36,9 +36,11 @@
     return [kind for kind, count in counts.items() for _ in range(count)]
 
 
-@pytest.mark.parametrize(("counts", "least", "most", "engines"), _DATA_CENTRES)
+@pytest.mark.parametrize(
+    ("counts", "min_streams", "max_streams", "max_engines"), _DATA_CENTRES
+)
 def test_a_path_includes_slow_engines_only_if_throughput_grows(
-    counts, least, most, engines
+    counts, min_streams, max_streams, max_engines
 ):
     """The load is 40 streams a second of 200 tokens while engines fail all
     day.  With capacity for 57 requests the fast engines load too few layers,
@@ -48,8 +50,8 @@
     """
     kinds = _list_kinds(counts)
     chosen = capacity.choose_capacity(kinds, _SHAPE)
-    assert least <= chosen <= most
-    assert _count_path(kinds, chosen) <= engines
+    assert min_streams <= chosen <= max_streams
+    assert _count_path(kinds, chosen) <= max_engines
     best = max(capacity.estimate_rate(kinds, _SHAPE, n) for n in range(4, 58))
     assert capacity.estimate_rate(kinds, _SHAPE, chosen) >= 0.79 * best
 
@@ -98,8 +100,8 @@
 def test_the_chosen_capacity_fits_in_memory(counts):
     kinds, shape = _list_kinds(counts), make_shape()
     chosen = capacity.choose_capacity(kinds, shape)
-    most = capacity.find_max_capacity(kinds, shape)
-    assert 4 <= chosen <= max(most, 4)
-    if most >= 4:
+    maximum = capacity.find_max_capacity(kinds, shape)
+    assert 4 <= chosen <= max(maximum, 4)
+    if maximum >= 4:
         sizes = [capacity.count_layers(shape, kind, chosen) for kind in kinds]
         assert sum(sizes) >= shape.layers
--- a/tests/placement/test_plan.py
+++ b/tests/placement/test_plan.py
@@ -162,7 +162,7 @@
     depend on an engine that is not ready, and the path would be interrupted
     for seconds.
     """
-    held = {
+    states = {
         "quick": ("h100", (0, 32), False),
         "next": ("l4", (32, 42), True),
         "last": ("h100", (48, 80), True),
@@ -174,7 +174,7 @@
         plan.EngineState(
             name, "a", kind, LayerRange(*layers), True, settled, 0, settled
         )
-        for name, (kind, layers, settled) in held.items()
+        for name, (kind, layers, settled) in states.items()
     ]
     placed = plan.make_plan(engines, _SHAPE)
     assert not {"s-1", "s-2", "s-3"} & {item.target for item in placed}
@@ -188,7 +188,7 @@
     close the gap.  Moving engines to it would leave gaps elsewhere, which
     both gateways would then close in turn.
     """
-    held = {
+    states = {
         "first": ("h100", (0, 32), False),
         "loading": ("a100s", None, True),
         "s-1": ("l4", (0, 10), False),
@@ -204,7 +204,7 @@
             movable=not foreign,
             foreign=foreign,
         )
-        for name, (kind, layers, foreign) in held.items()
+        for name, (kind, layers, foreign) in states.items()
     ]
     assert plan.make_plan(engines, _SHAPE) == []
     settled = [replace(engine, foreign=False) for engine in engines]
@@ -295,13 +295,13 @@
         plan.EngineState("i-3", "a", "l4", LayerRange(69, 80), requests=9),
         plan.EngineState("i-4", "a", "l4", LayerRange(0, 9)),
     ]
-    found = find_improvement(engines, _SHAPE)
-    assert found.target == "i-4"
-    assert found.layers.first <= 79 < found.layers.end
+    move = find_improvement(engines, _SHAPE)
+    assert move.target == "i-4"
+    assert move.layers.first <= 79 < move.layers.end
     busy = [replace(engine, requests=9) for engine in engines]
-    found = find_improvement(busy, _SHAPE)
+    move = find_improvement(busy, _SHAPE)
     # Giving up a layer that another engine serves loads nothing.
-    assert (found.target, found.layers) == ("i-3", LayerRange(70, 80))
+    assert (move.target, move.layers) == ("i-3", LayerRange(70, 80))
 
 
 def test_no_improvement_while_an_engine_moves():
@@ -321,12 +321,14 @@
     st.integers(0, 79),
     st.integers(1, 8),
 )
-def test_prefix_sums_rate_a_range_like_a_full_measurement(held, first, count):
+def test_prefix_sums_rate_a_range_like_a_full_measurement(
+    ranges, first, count
+):
     engines = [
         plan.EngineState(
             f"i-{n}", "a", kind, LayerRange(start, min(80, start + 8))
         )
-        for n, (kind, start) in enumerate(held)
+        for n, (kind, start) in enumerate(ranges)
     ]
     layers = LayerRange(first, min(80, first + count))
     changed = [replace(engines[0], layers=layers), *engines[1:]]
@@ -334,10 +336,10 @@
     rated = balance._OtherEngines(engines[0], engines, _SHAPE).rate_with(
         layers, wanted
     )
-    whole = balance._rate(balance._measure(changed, _SHAPE), wanted)
-    assert rated.replicated == whole.replicated
-    assert rated.tokens == pytest.approx(whole.tokens)
-    assert rated.slowness == pytest.approx(whole.slowness)
+    measured = balance._rate(balance._measure(changed, _SHAPE), wanted)
+    assert rated.replicated == measured.replicated
+    assert rated.tokens == pytest.approx(measured.tokens)
+    assert rated.slowness == pytest.approx(measured.slowness)
 
 
 def test_improvements_end():
@@ -346,11 +348,11 @@
         engines = _make_engines({place: kinds})
         _apply_plan(engines)
         for _ in range(12):
-            found = find_improvement(list(engines.values()), _SHAPE)
-            if found is None:
+            move = find_improvement(list(engines.values()), _SHAPE)
+            if move is None:
                 break
-            engines[found.target] = replace(
-                engines[found.target], layers=found.layers
+            engines[move.target] = replace(
+                engines[move.target], layers=move.layers
             )
             assert min(_count(engines, place)) >= 1
         assert find_improvement(list(engines.values()), _SHAPE) is None
