--- a/magnoliacove/placement/leadership.py
+++ b/magnoliacove/placement/leadership.py
@@ -35,8 +35,9 @@
 # Seconds after the first failed call from which on the store counts as
 # unreachable.  A leader detects an outage with its next renewal, at most 1.4 s
 # after the previous one.  It continues if the store counts as unreachable
-# before its lease ends for it, 2 s after that previous renewal; otherwise no
-# gateway places layers until another one detects the outage.
+# before the leader considers its lease expired, 2 s after the previous
+# renewal; otherwise no gateway places layers until another one detects the
+# outage.
 STORE_OUTAGE_SECONDS = 0.5
 
 
