--- a/magnoliacove/gateway/crashes.py
+++ b/magnoliacove/gateway/crashes.py
@@ -148,7 +148,9 @@
         ends a second target before the end of the first one is known.
         """
         question = self._questions.get(target)
-        if question is None or not self._state.crashes.was_at_end(fingerprint):
+        if question is None or not self._state.crashes.has_recent_crash(
+            fingerprint
+        ):
             return
         with trio.move_on_after(_ANSWER_WAIT):
             await question.answered.wait()
@@ -314,7 +316,7 @@
         why = "a target ended under it again"
         for one in held:
             last = state.crashes.read_last_crash(one.fingerprint)
-            if state.quarantine.is_tried_again(one.fingerprint, last):
+            if state.quarantine.crashed_again(one.fingerprint, last):
                 begun.append(
                     state.quarantine.begin(
                         one.fingerprint, one.crashes + 1, why
@@ -333,5 +335,5 @@
         """
         held = {one.fingerprint for one in self._state.quarantine.list_all()}
         for fingerprint in self._held - held:
-            self._state.crashes.settle(fingerprint)
+            self._state.crashes.clear_crashes(fingerprint)
         self._held = held
--- a/magnoliacove/gateway/holds.py
+++ b/magnoliacove/gateway/holds.py
@@ -99,7 +99,7 @@
             return wait
         gaps = self._state.find_gaps(service)
         gaps.note(self._state.candidates.is_whole(service, self.shape))
-        return gaps.read_left()
+        return gaps.estimate_remaining()
 
     def has_other_path(self) -> bool:
         """Return whether there is a path without the present first engine."""
--- a/magnoliacove/gateway/limit_sharing.py
+++ b/magnoliacove/gateway/limit_sharing.py
@@ -8,11 +8,11 @@
 
 from magnoliacove.directory.targets import TargetList
 from magnoliacove.limits.backpressure import BackpressureBook
-from magnoliacove.limits.backpressure import ToldLimit
+from magnoliacove.limits.backpressure import ReportedLimit
 from magnoliacove.limits.grants import Grant
 from magnoliacove.limits.grants import GrantBook
 from magnoliacove.limits.grants import divide_limit
-from magnoliacove.limits.unheard import UnheardRequests
+from magnoliacove.limits.unreported import UnreportedRequests
 from magnoliacove.routing.owners import choose_owner
 
 __all__ = ["HeardPeer", "LimitSharing", "PeerNews"]
@@ -41,7 +41,7 @@
         """Seconds for which it has counted its requests."""
 
     @property
-    def limits(self) -> Iterable[ToldLimit]:
+    def limits(self) -> Iterable[ReportedLimit]:
         """What targets said to it."""
 
     @property
@@ -57,7 +57,7 @@
         """What it told then."""
 
     @property
-    def heard_at(self) -> float:
+    def received_at(self) -> float:
         """When that was."""
 
 
@@ -73,7 +73,7 @@
         targets: TargetList,
         book: BackpressureBook,
         grants: GrantBook,
-        unheard: UnheardRequests,
+        unheard: UnreportedRequests,
         list_live: Callable[[], Iterable[HeardPeer]],
         is_leaving: Callable[[], bool],
         read_time: Callable[[], float] = trio.current_time,
@@ -124,7 +124,7 @@
 
     def take(self, news: PeerNews) -> None:
         """Take what another gateway tells."""
-        self._book.take_told(news.name, news.limits)
+        self._book.take_reported(news.name, news.limits)
         self._grants.take(news.name, news.grants)
         self._renew()
 
@@ -162,7 +162,7 @@
         for one in self._list_live():
             # What it told is old; taken for now, gateways that started
             # together would each miss others, and hand out a limit twice.
-            counted_for = one.heartbeat.counted_for + now - one.heard_at
+            counted_for = one.heartbeat.counted_for + now - one.received_at
             if not one.heartbeat.leaving and counted_for >= _SETTLED:
                 yield one.heartbeat.name
         if not self._is_leaving() and self._unheard.counted_for >= _SETTLED:
--- a/magnoliacove/gateway/peering.py
+++ b/magnoliacove/gateway/peering.py
@@ -143,7 +143,7 @@
                 ReportedQuarantine(
                     one.fingerprint, one.round, one.seconds, age, one.crashes
                 )
-                for one, age in state.quarantine.draw_told()
+                for one, age in state.quarantine.sample_for_heartbeat()
             ),
         )
 
--- a/magnoliacove/gateway/process.py
+++ b/magnoliacove/gateway/process.py
@@ -91,7 +91,7 @@
         grace = min(_LAPSE_GRACE, bounds.drain - _REMOVAL_KNOWN)
         targets = TargetList(recorder, grace=max(0.0, grace))
         health, holdings = Health(recorder), Holdings()
-        loads, unheard = limits.LoadBook(), limits.UnheardRequests()
+        loads, unheard = limits.LoadBook(), limits.UnreportedRequests()
         backpressure = BackpressureBook(recorder)
         grants = GrantBook(settings.name)
         permits = Permits(backpressure, grants)
@@ -109,7 +109,7 @@
             budget=limits.SharedRetryBudget(
                 bounds.retry_ratio, bounds.retry_slack, bounds.retry_window
             ),
-            room=limits.RoomQueue(),
+            room=limits.CapacityQueue(),
             pool=pool,
             candidates=Candidates(
                 settings.data_centre,
--- a/magnoliacove/gateway/quarantine_records.py
+++ b/magnoliacove/gateway/quarantine_records.py
@@ -19,7 +19,7 @@
 from magnoliacove import errors
 from magnoliacove import platform
 from magnoliacove.directory.backoff import Backoff
-from magnoliacove.limits.quarantine import LONGEST
+from magnoliacove.limits.quarantine import MAX_QUARANTINE
 from magnoliacove.limits.quarantine import Quarantine
 from magnoliacove.limits.quarantine import QuarantineBook
 from magnoliacove.timeline import Recorder
@@ -131,7 +131,7 @@
         over = []
         for record in listing.records:
             found = read_record(record)
-            if found is None or found.forgotten_at <= trio.current_time():
+            if found is None or found.expires_at <= trio.current_time():
                 over.append(record)
                 continue
             self._book.take(found, "the platform's store")
@@ -192,7 +192,7 @@
         return None
     if not _FINGERPRINT.fullmatch(fingerprint):
         return None
-    if not (0.0 < seconds <= LONGEST and 0 < number <= _MOST_COUNTED):
+    if not (0.0 < seconds <= MAX_QUARANTINE and 0 < number <= _MOST_COUNTED):
         return None
     if not (0 <= crashes <= _MOST_COUNTED and math.isfinite(until)):
         return None
--- a/magnoliacove/gateway/relay.py
+++ b/magnoliacove/gateway/relay.py
@@ -167,7 +167,7 @@
             resumes=routed.marks.last_event,
         )
         wait = state.quarantine.admit(routed.fingerprint)
-        if not wait and state.crashes.is_held(routed.fingerprint):
+        if not wait and state.crashes.is_deferred(routed.fingerprint):
             wait = _HELD_RETRY
         if wait > 0.0:
             raise make_quarantined(wait)
--- a/magnoliacove/gateway/state.py
+++ b/magnoliacove/gateway/state.py
@@ -13,15 +13,15 @@
 from magnoliacove.directory.targets import TargetList
 from magnoliacove.gateway.pool import ChannelPool
 from magnoliacove.limits.backpressure import BackpressureBook
+from magnoliacove.limits.capacity import CapacityQueue
 from magnoliacove.limits.crashes import CrashHistory
-from magnoliacove.limits.gaps import GapClock
+from magnoliacove.limits.gaps import GapEstimator
 from magnoliacove.limits.grants import GrantBook
 from magnoliacove.limits.load import LoadBook
 from magnoliacove.limits.permits import Permits
 from magnoliacove.limits.quarantine import QuarantineBook
 from magnoliacove.limits.retries import SharedRetryBudget
-from magnoliacove.limits.room import RoomQueue
-from magnoliacove.limits.unheard import UnheardRequests
+from magnoliacove.limits.unreported import UnreportedRequests
 from magnoliacove.metrics import Meters
 from magnoliacove.routing.candidates import Candidates
 from magnoliacove.timeline import Recorder
@@ -46,9 +46,9 @@
     health: Health
     holdings: Holdings
     loads: LoadBook
-    unheard: UnheardRequests
+    unheard: UnreportedRequests
     budget: SharedRetryBudget
-    room: RoomQueue
+    room: CapacityQueue
     pool: ChannelPool
     candidates: Candidates
     rng: random.Random
@@ -62,13 +62,13 @@
     leaving: bool = False
     seen_traffic: bool = False
     open_requests: int = 0
-    _gaps: dict[str, GapClock] = field(default_factory=dict)
+    _gaps: dict[str, GapEstimator] = field(default_factory=dict)
     _route_listeners: list[Callable[[], None]] = field(default_factory=list)
     _routes_known: trio.Event = field(default_factory=trio.Event)
 
-    def find_gaps(self, service: str) -> GapClock:
+    def find_gaps(self, service: str) -> GapEstimator:
         """Return what is known of the gaps in a model's layers."""
-        return self._gaps.setdefault(service, GapClock())
+        return self._gaps.setdefault(service, GapEstimator())
 
     def may_repeat(self, fingerprint: str) -> bool:
         """Return whether a request that broke off may run once more.
--- a/magnoliacove/gateway/streams.py
+++ b/magnoliacove/gateway/streams.py
@@ -211,7 +211,7 @@
                 # soon, and what it has read already would be lost.
                 priority=-1 if self.began else routed.priority,
                 fresh_until=now + left if self.began else arrived + objective,
-                patience=left,
+                timeout=left,
                 # An answer that has begun is not refused any more.
                 read_delay=self._hold.read_delay
                 if not self.began
--- a/magnoliacove/limits/__init__.py
+++ b/magnoliacove/limits/__init__.py
@@ -1,23 +1,23 @@
-"""Limits: admission, rates, retries, room on the engines."""
+"""Admission control, rate limits, retry budgets and engine capacity."""
 
 from magnoliacove.limits.admission import Admission
 from magnoliacove.limits.admission import RateLimit
 from magnoliacove.limits.admission import describe_admission
+from magnoliacove.limits.capacity import CapacityQueue
 from magnoliacove.limits.load import LoadBook
 from magnoliacove.limits.load import TargetLoad
 from magnoliacove.limits.retries import RetryBudget
 from magnoliacove.limits.retries import SharedRetryBudget
-from magnoliacove.limits.room import RoomQueue
-from magnoliacove.limits.unheard import UnheardRequests
+from magnoliacove.limits.unreported import UnreportedRequests
 
 __all__ = [
     "Admission",
     "LoadBook",
     "RateLimit",
     "RetryBudget",
-    "RoomQueue",
+    "CapacityQueue",
     "SharedRetryBudget",
     "TargetLoad",
-    "UnheardRequests",
+    "UnreportedRequests",
     "describe_admission",
 ]
--- a/magnoliacove/limits/admission.py
+++ b/magnoliacove/limits/admission.py
@@ -1,7 +1,7 @@
-"""Admission at an entry: fair between client accounts, bounded in time.
+"""Admission control at an entry, fair between client accounts.
 
-A request waits only as long as its deadline can bear.  What will surely
-not get its turn is refused at once, with the time to come back.
+A request waits no longer than its deadline allows.  A request that is
+expected to miss its deadline is refused at once, with a `Retry-After` time.
 """
 
 from collections.abc import AsyncIterator
@@ -19,17 +19,20 @@
 
 __all__ = ["Admission", "RateLimit"]
 
+# Weight of the newest request in the moving average of request durations.
 _SMOOTHING = 0.1
-_FIRST_HOLD = 1.0
-_SHED_EVERY = 0.25
+# Seconds that a request is assumed to run before any duration is measured.
+_INITIAL_DURATION = 1.0
+# Seconds between two checks of the queues for requests that will be late.
+_SHED_INTERVAL = 0.25
 
 
 @dataclass(eq=False)
 class _Waiter:
     """One request in the queue of its account.
 
-    :param deadline: by trio's clock; it must be admitted before.
-    :param decided: set when it is admitted or refused.
+    :param deadline: latest time of admission, by trio's clock.
+    :param decided: set when the request is admitted or refused.
     """
 
     priority: int
@@ -48,26 +51,27 @@
 
 
 class Admission:
-    """Lets a bounded number of requests run at a time.
+    """Bounds the number of requests that run concurrently.
 
-    When there is room all are admitted at once.  Otherwise priorities go
-    first, and within a priority each account gets room in proportion to
-    its weight, whatever the others ask for.
+    While there is capacity, every request is admitted at once.  Otherwise
+    higher priorities are admitted first, and within a priority each account
+    gets capacity in proportion to its weight, independent of the demand of
+    other accounts.
 
-    :param read_room: returns how many requests may run at a time now.
+    :param read_capacity: returns how many requests may run concurrently now.
     """
 
-    def __init__(self, read_room: Callable[[], int]) -> None:
+    def __init__(self, read_capacity: Callable[[], int]) -> None:
         self.running = 0
         self.waiting = 0
         self.refused = 0
-        self._read_room = read_room
+        self._read_capacity = read_capacity
         self._queues: dict[str, _AccountQueue] = {}
         self._virtual_time = 0.0
-        self._hold_seconds = _FIRST_HOLD
+        self._mean_duration = _INITIAL_DURATION
         self._order = itertools.count()
         self._shed_at = 0.0
-        self._holds = 0
+        self._durations_seen = 0
 
     @contextlib.asynccontextmanager
     async def admit(
@@ -75,27 +79,27 @@
         account: str,
         weight: float,
         priority: int,
-        patience: float,
+        timeout: float,
     ) -> AsyncIterator[None]:
-        """Hold one place while the body runs.
+        """Occupy one slot while the body runs.
 
-        :param patience: seconds in which the request must be done.
-        :raises magnoliacove.errors.RequestError: when no place will be
-            free in time; the request did not run.
+        :param timeout: seconds within which the request must be done.
+        :raises magnoliacove.errors.RequestError: when no slot is expected
+            to become free in time; the request did not run.
         """
-        await self._enter(account, weight, priority, patience)
+        await self._enter(account, weight, priority, timeout)
         started = trio.current_time()
         try:
             yield
         finally:
-            self._note_hold(trio.current_time() - started)
+            self._note_duration(trio.current_time() - started)
             self.running -= 1
             self.fill()
 
     def fill(self) -> None:
-        """Admit waiting requests while there is room."""
-        room = self._read_room()
-        while self.waiting and self.running < room:
+        """Admit waiting requests while there is capacity."""
+        capacity = self._read_capacity()
+        while self.waiting and self.running < capacity:
             queue = self._pick_queue()
             _, _, waiter = heapq.heappop(queue.waiting)
             self._charge(queue)
@@ -104,45 +108,48 @@
             waiter.admitted = True
             waiter.decided.set()
         now = trio.current_time()
-        if self.waiting and now - self._shed_at >= _SHED_EVERY:
+        if self.waiting and now - self._shed_at >= _SHED_INTERVAL:
             self._shed_at = now
-            self._shed(room)
+            self._shed(capacity)
 
-    def _note_hold(self, seconds: float) -> None:
-        """Learn how long requests take; the first ones teach the most."""
-        self._holds += 1
-        rate = max(_SMOOTHING, 1 / self._holds)
-        self._hold_seconds += rate * (seconds - self._hold_seconds)
+    def _note_duration(self, seconds: float) -> None:
+        """Update the moving average of request durations.
+
+        The first samples have the highest weight.
+        """
+        self._durations_seen += 1
+        rate = max(_SMOOTHING, 1 / self._durations_seen)
+        self._mean_duration += rate * (seconds - self._mean_duration)
 
     async def _enter(
-        self, account: str, weight: float, priority: int, patience: float
+        self, account: str, weight: float, priority: int, timeout: float
     ) -> None:
         queue = self._queues.setdefault(account, _AccountQueue())
         queue.weight = weight
-        room = self._read_room()
-        if not self.waiting and self.running < room:
+        capacity = self._read_capacity()
+        if not self.waiting and self.running < capacity:
             self._charge(queue)
             self.running += 1
             return
         ahead = sum(1 for item in queue.waiting if -item[0] >= priority)
-        expected = self._expect_wait(queue, ahead, room)
+        expected = self._expect_wait(queue, ahead, capacity)
         full = len(queue.waiting) >= defaults.QUEUED_PER_ACCOUNT
-        if expected + self._hold_seconds > patience or full:
+        if expected + self._mean_duration > timeout or full:
             self._refuse(expected)
         if not queue.waiting:
             queue.virtual_time = max(queue.virtual_time, self._virtual_time)
-        waiter = _Waiter(priority, trio.current_time() + patience)
+        waiter = _Waiter(priority, trio.current_time() + timeout)
         heapq.heappush(queue.waiting, (-priority, next(self._order), waiter))
         self.waiting += 1
         try:
-            with trio.move_on_after(patience):
+            with trio.move_on_after(timeout):
                 await waiter.decided.wait()
         except trio.Cancelled:
             self._leave(queue, waiter)
             raise
         if not waiter.admitted:
             self._leave(queue, waiter)
-            self._refuse(self._hold_seconds)
+            self._refuse(self._mean_duration)
 
     def _leave(self, queue: _AccountQueue, waiter: _Waiter) -> None:
         if waiter.admitted:
@@ -155,19 +162,19 @@
         heapq.heapify(queue.waiting)
         self.waiting -= 1
 
-    def _shed(self, room: int) -> None:
-        """Refuse what will not get its turn in time, as soon as that shows.
+    def _shed(self, capacity: int) -> None:
+        """Refuse the waiting requests that are expected to be late.
 
-        Requests may turn out longer than was expected when one joined the
-        queue.  Holding it until its deadline would only cost the caller
-        the time in which to try elsewhere.
+        Requests may take longer than was expected when a request joined the
+        queue.  Keeping the request until its deadline would only cost the
+        caller the time in which it could try elsewhere.
         """
         now = trio.current_time()
         for queue in self._queues.values():
             kept: list[tuple[int, int, _Waiter]] = []
             for item in sorted(queue.waiting, key=lambda item: item[:2]):
-                expected = self._expect_wait(queue, len(kept), room)
-                done_at = now + expected + self._hold_seconds
+                expected = self._expect_wait(queue, len(kept), capacity)
+                done_at = now + expected + self._mean_duration
                 if done_at <= item[2].deadline:
                     kept.append(item)
                     continue
@@ -185,20 +192,20 @@
         )
 
     def _expect_wait(
-        self, queue: _AccountQueue, ahead: int, room: int
+        self, queue: _AccountQueue, ahead: int, capacity: int
     ) -> float:
-        """Return the seconds until the turn of a request in a queue.
+        """Return the seconds until a request in a queue is admitted.
 
-        :param ahead: how many of the same account go before it.
+        :param ahead: requests of the same account that are admitted before.
         """
-        if room <= 0:
-            return self._hold_seconds
+        if capacity <= 0:
+            return self._mean_duration
         active = [q for q in self._queues.values() if q.waiting or q is queue]
         share = queue.weight / sum(q.weight for q in active)
-        return (ahead + 1) * self._hold_seconds / (room * share)
+        return (ahead + 1) * self._mean_duration / (capacity * share)
 
     def _pick_queue(self) -> _AccountQueue:
-        """Return the queue whose head goes next."""
+        """Return the queue whose first request is admitted next."""
         return min(
             (queue for queue in self._queues.values() if queue.waiting),
             key=lambda queue: (queue.waiting[0][0], queue.virtual_time),
@@ -211,10 +218,12 @@
 
 
 class RateLimit:
-    """A limit on an account's requests per second.
+    """A token bucket that limits an account's requests per second.
+
+    Each entry enforces an equal share of the limit.  The load balancer
+    spreads callers over the entries, so the entries share no counter.
 
-    Each entry grants its part of the limit: the balancer spreads callers
-    over the entries, so no counter is shared.
+    :param read_entries: returns the number of entries.
     """
 
     def __init__(self, read_entries: Callable[[], int]) -> None:
@@ -224,15 +233,16 @@
     def check(self, account: str, per_second: float) -> None:
         """Count one request.
 
-        :raises magnoliacove.errors.RequestError: beyond the limit.
+        :raises magnoliacove.errors.RequestError: when the account exceeds
+            its limit.
         """
         if per_second <= 0:
             return
         rate = per_second / max(1, self._read_entries())
         burst = max(1.0, rate)
         now = trio.current_time()
-        tokens, at = self._tokens.get(account, (burst, now))
-        tokens = min(burst, tokens + (now - at) * rate)
+        tokens, refilled_at = self._tokens.get(account, (burst, now))
+        tokens = min(burst, tokens + (now - refilled_at) * rate)
         if tokens < 1.0:
             self._tokens[account] = (tokens, now)
             raise errors.RequestError(
@@ -246,7 +256,7 @@
 
 
 def describe_admission(admission: Admission) -> dict[str, float]:
-    """Return an admission's gauges."""
+    """Return the gauges of an admission queue."""
     return {
         "requests_running": admission.running,
         "requests_waiting": admission.waiting,
--- a/magnoliacove/limits/backpressure.py
+++ b/magnoliacove/limits/backpressure.py
@@ -1,7 +1,8 @@
-"""What targets in need ask of those that send them requests.
+"""Backpressure that overloaded targets request from gateways.
 
-A limit counts for all gateways together, so they tell each other of it; that
-a target wants rest it says to one gateway, and means that one.
+A rate limit applies to all gateways together, so gateways share it in their
+heartbeats.  A back-off (`Retry-After`) applies only to the gateway that
+received it.
 """
 
 from collections.abc import Callable
@@ -12,22 +13,23 @@
 
 from magnoliacove.timeline import Recorder
 
-__all__ = ["BackpressureBook", "TargetNotice", "ToldLimit"]
+__all__ = ["BackpressureBook", "TargetNotice", "ReportedLimit"]
 
-# An end of a limit is told to the other gateways for so long, in seconds; by
-# then each has heard it.
-_END_TOLD = 30.0
+# Seconds for which heartbeats report the end of a limit; by then every other
+# gateway has received it.
+_ENDED_LIMIT_REPORTED = 30.0
 
 
 @dataclass(frozen=True)
 class TargetNotice:
-    """What a target says of itself in one answer.
-
-    :param rate_limit: requests a second that it takes from all gateways
-        together, None when it names no limit.
-    :param leaving: it is to get no new requests any more.
-    :param rest: seconds for which it wants nothing from this gateway.
-    :param unreadable: what it said that has no meaning, or "".
+    """The backpressure headers of one answer of a target.
+
+    :param rate_limit: requests per second that the target accepts from all
+        gateways together, None when the answer has no limit.
+    :param leaving: whether the target accepts no new requests any more.
+    :param rest: back-off in seconds, during which this gateway is asked to
+        send the target nothing.
+    :param unreadable: header values that cannot be parsed, or "".
     """
 
     rate_limit: float | None = None
@@ -37,11 +39,11 @@
 
 
 @dataclass(frozen=True)
-class ToldLimit:
-    """What a target said to one gateway of its limit.
+class ReportedLimit:
+    """A target's limit as one gateway received it from the target.
 
-    :param rate: requests a second, None for no limit any more.
-    :param age: seconds since it said so.
+    :param rate: requests per second, None when the limit has ended.
+    :param age: seconds since the target reported it.
     """
 
     target: str
@@ -51,20 +53,26 @@
 
 @dataclass(frozen=True)
 class _Limit:
-    """The newest word on a target's limit, and who heard it."""
+    """The newest limit of a target.
+
+    :param rate: requests per second, None when the limit has ended.
+    :param received_at: when a gateway received it from the target.
+    :param own: whether this gateway received it; otherwise a peer did.
+    """
 
     rate: float | None
-    heard_at: float
+    received_at: float
     own: bool
 
 
-_NOTHING = TargetNotice()
+_NO_NOTICE = TargetNotice()
 
 
 class BackpressureBook:
-    """What each target said last.
+    """The latest backpressure of each target.
 
-    A target that starts again has another name here, and has said nothing.
+    A target that restarts has another name here, so it starts without
+    backpressure.
 
     :param read_time: returns seconds.
     """
@@ -78,12 +86,12 @@
         self._read_time = read_time
         self._notices: dict[str, TargetNotice] = {}
         self._limits: dict[str, _Limit] = {}
-        self._rests: dict[str, float] = {}
+        self._backoffs: dict[str, float] = {}
         self._leaving: set[str] = set()
         self._listeners: list[Callable[[], None]] = []
 
     def listen(self, listener: Callable[[], None]) -> None:
-        """Call a function when a limit is another one than before."""
+        """Register a function that is called when a limit changes."""
         self._listeners.append(listener)
 
     def take(
@@ -94,25 +102,27 @@
         *,
         ends_limit: bool = True,
     ) -> None:
-        """Take what a target says of itself.
+        """Apply the backpressure headers of an answer.
 
-        :param source: the answer that says so, for the log.
-        :param ends_limit: a limit that it does not name is over.  Answers to
-            questions of our own may not name what answers to requests do.
+        :param source: the kind of answer, for the log.
+        :param ends_limit: whether an answer without a limit ends the
+            target's limit.  Answers to this gateway's own queries may lack
+            the limit that answers to callers' requests carry.
         """
         now = self._read_time()
         if notice.rest:
-            # One that was on its way may ask for less than was asked before.
-            until = max(self._rests.get(target, 0.0), now + notice.rest)
-            self._rests[target] = until
+            # An answer that was in flight may ask for a shorter back-off
+            # than an earlier one.
+            until = max(self._backoffs.get(target, 0.0), now + notice.rest)
+            self._backoffs[target] = until
         if notice.leaving:
             self._leaving.add(target)
         if notice.rate_limit is not None or (
             ends_limit and self.read_limit(target) is not None
         ):
             self._set_limit(target, _Limit(notice.rate_limit, now, True))
-        known = self._notices.get(target, _NOTHING)
-        if notice == known and not notice.rest:
+        previous = self._notices.get(target, _NO_NOTICE)
+        if notice == previous and not notice.rest:
             return
         self._notices[target] = notice
         self._recorder.record(
@@ -125,38 +135,48 @@
             rest=notice.rest,
         )
 
-    def take_told(self, entry: str, limits: Iterable[ToldLimit]) -> None:
-        """Take what targets said to another gateway."""
+    def take_reported(
+        self, entry: str, limits: Iterable[ReportedLimit]
+    ) -> None:
+        """Apply the limits that another gateway received from targets."""
         now = self._read_time()
-        for told in limits:
-            known = self._limits.get(told.target)
-            heard_at = now - told.age
-            if known is not None and known.heard_at >= heard_at:
+        for reported in limits:
+            current = self._limits.get(reported.target)
+            received_at = now - reported.age
+            if current is not None and current.received_at >= received_at:
                 continue
-            if known is None and told.rate is None:
+            if current is None and reported.rate is None:
                 continue
-            if self.read_limit(told.target) != told.rate:
+            if self.read_limit(reported.target) != reported.rate:
                 self._recorder.record(
                     "target-notice",
-                    target=told.target,
+                    target=reported.target,
                     source=entry,
-                    rate_limit=told.rate,
-                    age=round(told.age, 3),
+                    rate_limit=reported.rate,
+                    age=round(reported.age, 3),
                 )
-            self._set_limit(told.target, _Limit(told.rate, heard_at, False))
+            self._set_limit(
+                reported.target, _Limit(reported.rate, received_at, False)
+            )
 
-    def list_own(self) -> list[ToldLimit]:
-        """Return what targets said to this gateway, for the others."""
+    def list_own(self) -> list[ReportedLimit]:
+        """Return the limits to report to the other gateways.
+
+        Only limits that this gateway received from the targets themselves.
+        """
         now = self._read_time()
         return [
-            ToldLimit(target, limit.rate, now - limit.heard_at)
+            ReportedLimit(target, limit.rate, now - limit.received_at)
             for target, limit in self._limits.items()
             if limit.own
-            and (limit.rate is not None or now - limit.heard_at < _END_TOLD)
+            and (
+                limit.rate is not None
+                or now - limit.received_at < _ENDED_LIMIT_REPORTED
+            )
         ]
 
     def list_limits(self) -> dict[str, float]:
-        """Return the targets that have a limit, and what it is."""
+        """Return each limited target's requests per second."""
         return {
             target: limit.rate
             for target, limit in self._limits.items()
@@ -166,32 +186,35 @@
     @property
     def any_limit(self) -> bool:
         """Whether some target has a limit."""
-        return any(one.rate is not None for one in self._limits.values())
+        return any(limit.rate is not None for limit in self._limits.values())
 
     def read_limit(self, target: str) -> float | None:
-        """Return the requests a second that a target takes, None for any."""
+        """Return a target's requests per second, None when unlimited."""
         limit = self._limits.get(target)
         return limit.rate if limit is not None else None
 
-    def read_rest(self, target: str) -> float:
-        """Return seconds for which a target wants nothing from here."""
-        return max(0.0, self._rests.get(target, 0.0) - self._read_time())
+    def read_backoff(self, target: str) -> float:
+        """Return the remaining seconds of a target's back-off."""
+        return max(0.0, self._backoffs.get(target, 0.0) - self._read_time())
 
     def is_leaving(self, target: str) -> bool:
-        """Return whether a target said that it leaves."""
+        """Return whether a target has announced that it leaves."""
         return target in self._leaving
 
     def forget(self, known: set[str]) -> None:
-        """Drop what targets said that no longer exist."""
-        for kept in (self._notices, self._limits, self._rests):
+        """Discard the backpressure of targets that no longer exist.
+
+        :param known: the targets that exist.
+        """
+        for kept in (self._notices, self._limits, self._backoffs):
             for target in set(kept) - known:
                 del kept[target]
         self._leaving &= known
 
     def _set_limit(self, target: str, limit: _Limit) -> None:
-        news = limit.rate != self.read_limit(target)
+        changed = limit.rate != self.read_limit(target)
         self._limits[target] = limit
-        if not news:
+        if not changed:
             return
         for listener in self._listeners:
             listener()
--- a/magnoliacove/limits/crashes.py
+++ b/magnoliacove/limits/crashes.py
@@ -1,10 +1,10 @@
-"""Which requests end the targets that run them.
+"""Detection of the requests that crash the targets that run them.
 
-A target that ends takes everything that runs there with it, so each request
-that was there may be the cause, and those that go on together at the next
-target are there again when that one ends.  What tells the cause apart: it is
-at every end, in attempt after attempt of its callers, it never comes to an
-answer, and none of its runs goes on for longer than the others.
+When a target ends, every request that runs there fails, so each of them may
+be the cause.  Requests that are moved to the next target together are there
+again when that one ends.  The cause differs from the others in four ways: it
+runs at every target that ends, in several attempts of its callers, it never
+completes, and none of its runs lasts longer than the rest.
 """
 
 from collections import OrderedDict
@@ -18,113 +18,117 @@
 import trio
 
 from magnoliacove.limits.runs import CrashedRun
-from magnoliacove.limits.silences import SilentRuns
+from magnoliacove.limits.unresponsive import UnresponsiveRuns
 
 __all__ = ["CrashHistory"]
 
-# Ends of targets until a request is taken for their cause, for one that was
-# never answered; each answer asks for as many more.  Two ends come about by
-# chance where several targets are lost together, a third hardly does.
-_LEAST_CRASHES = 3
-# A request that was at the same ends as another one is taken for the cause
-# only after so many more, and so many seconds after the third: the next ends
-# mostly tell the two apart.  Callers and engines bear three more runs later
-# than three seconds after it.
-_SAME_CRASHES = 2
-_SAME_SECONDS = 2.0
-# Attempts of callers that the ends come from.  One attempt goes from target to
-# target beside others; whoever travels with the cause is gone with its answer.
-_LEAST_ATTEMPTS = 2
-# Seconds by which runs that end their target may differ in length.  The cause
-# ends it at the same step, sooner or later with what else runs there.
-_LENGTHS_DIFFER = 1.0
-# What is known of a request is forgotten so many seconds after its last end;
-# its callers may pause for long.
-_KEPT = 600.0
-# Requests and ends of each that are remembered, and requests that were
-# answered: some megabytes at most.
-_MOST_REQUESTS = 1024
-_MOST_CRASHES = 16
-_MOST_ANSWERED = 4096
-# An answer speaks for a request for so many seconds.  What was harmless may
-# end targets once these, or what they hold, have changed.
-_ANSWERS_COUNT = 60.0
-# Ends are told to the others for so many seconds, again and again, as a
-# heartbeat may be lost; and so many at a time, 35 bytes each.
-_TOLD_FOR = 10.0
-_MOST_TOLD = 16
+# Crashes after which a request that was never answered counts as their cause;
+# each answer requires as many more.  Two crashes occur by chance when several
+# targets fail together, a third is unlikely to.
+_MIN_CRASHES = 3
+# A request that ran at the same crashes as another one counts as the cause
+# only after this many more crashes, and this many seconds after the third:
+# the next crashes usually distinguish the two.  Callers and engines tolerate
+# three more runs later than three seconds after it.
+_AMBIGUOUS_CRASHES = 2
+_AMBIGUOUS_SECONDS = 2.0
+# Minimum number of callers' attempts that the crashes come from.  One attempt
+# moves from target to target together with others; a request that moves along
+# with the cause leaves the group once it is answered.
+_MIN_ATTEMPTS = 2
+# Seconds by which the durations of runs that crash their target may differ.
+# The cause crashes it at the same step, sooner or later depending on what else
+# runs there.
+_MAX_DURATION_DIFFERENCE = 1.0
+# Seconds after its last crash at which a request's history expires; callers
+# may pause for a long time.
+_RETENTION = 600.0
+# Maximum numbers of requests, of crashes of each request and of answered
+# requests in memory: some megabytes at most.
+_MAX_REQUESTS = 1024
+_MAX_CRASHES = 16
+_MAX_ANSWERED = 4096
+# Seconds for which an answer counts in a request's favour.  A harmless request
+# may crash targets once the targets, or the layers or data that they hold,
+# have changed.
+_ANSWER_RETENTION = 60.0
+# Seconds for which each heartbeat reports a crash to the peers, repeatedly
+# since a heartbeat may be lost, and the maximum number of crashes in one
+# heartbeat, 35 bytes each.
+_REPORTED_FOR = 10.0
+_MAX_REPORTED = 16
 
 
 @dataclass
 class _Request:
-    """What is known of one request.
+    """The crash history of one request.
 
-    :param crashes: the run at each target that ended, and when it ended.
-    :param longest: seconds of its longest run without an answer.
-    :param last_at: when the last of its targets ended.
-    :param settled: targets whose end does not count against it any more.
+    :param crashes: by target, the run at its crash, and the crash time.
+    :param longest: seconds of the longest run without an answer.
+    :param last_at: when the last of the request's targets ended.
+    :param cleared: targets whose crash no longer counts against the request.
     """
 
     crashes: dict[str, tuple[CrashedRun, float]] = field(default_factory=dict)
     attempts: set[int] = field(default_factory=set)
     longest: float = 0.0
     last_at: float = 0.0
-    settled: frozenset[str] = frozenset()
+    cleared: frozenset[str] = frozenset()
 
     def list_targets(self) -> set[str]:
-        """Return the ended targets that its runs may have ended.
+        """Return the targets that the request may have crashed.
 
-        A run that went on for longer shows that the request does not end a
-        target so soon.
+        A longer run shows that the request does not crash a target that
+        early.
         """
-        least = self.longest - _LENGTHS_DIFFER
+        min_seconds = self.longest - _MAX_DURATION_DIFFERENCE
         return {
             target
             for target, (run, _) in self.crashes.items()
-            if run.seconds >= least
+            if run.seconds >= min_seconds
         }
 
 
 class CrashHistory:
-    """Targets that ended, and what ran there, of all gateways.
+    """Crashes of targets and the runs there, as all gateways report them.
 
     :param read_time: returns seconds.
-    :param silent: runs of which it is not known yet whether they ended their
-        target.
+    :param silent: runs at unresponsive targets, of which it is not yet known
+        whether the target crashed.
     """
 
     def __init__(
         self, read_time: Callable[[], float] = trio.current_time
     ) -> None:
-        self.silent = SilentRuns(read_time)
+        self.silent = UnresponsiveRuns(read_time)
         self._read_time = read_time
         self._requests: OrderedDict[str, _Request] = OrderedDict()
-        # How often each was answered, and when it was last.
+        # Number of answers of each request, and the time of the last one.
         self._answered: OrderedDict[str, tuple[int, float]] = OrderedDict()
-        self._others_answered: dict[str, Mapping[str, int]] = {}
+        self._peer_answers: dict[str, Mapping[str, int]] = {}
         self._own: list[tuple[CrashedRun, float]] = []
 
     def note_crash(
         self, run: CrashedRun, *, age: float = 0.0, own: bool = True
     ) -> bool:
-        """Take it that a target ended while a run was going on there.
+        """Record that a target ended during a run.
 
         :param age: seconds since it ended.
-        :param own: this gateway saw it; else a peer did.
-        :returns: whether that was news.
+        :param own: whether this gateway observed it; otherwise a peer did.
+        :returns: whether the crash was not recorded before.
         """
         at = self._read_time() - age
         self.silent.drop(run)
-        if age >= _KEPT:
+        if age >= _RETENTION:
             return False
         known = self._requests.setdefault(run.fingerprint, _Request())
         self._requests.move_to_end(run.fingerprint)
-        if len(self._requests) > _MOST_REQUESTS:
+        if len(self._requests) > _MAX_REQUESTS:
             self._requests.popitem(last=False)
-        if run.target in known.crashes or run.target in known.settled:
+        if run.target in known.crashes or run.target in known.cleared:
             return False
         known.crashes[run.target] = run, at
-        if len(known.crashes) > _MOST_CRASHES:
+        if len(known.crashes) > _MAX_CRASHES:
             del known.crashes[next(iter(known.crashes))]
         known.attempts.add(run.attempt)
         known.longest = max(known.longest, run.seconds)
@@ -134,7 +138,7 @@
         return True
 
     def note_run(self, fingerprint: str, seconds: float) -> None:
-        """Take it that a run went on for so long and did not end its target.
+        """Record that a run lasted this long and did not crash its target.
 
         :param seconds: since the run's first bytes.
         """
@@ -143,193 +147,207 @@
             known.longest = max(known.longest, seconds)
 
     def note_answered(self, fingerprint: str) -> None:
-        """Take it that a request was answered in full."""
+        """Record that a request was answered in full."""
         count = self._read_answered(fingerprint)
         self._answered.pop(fingerprint, None)
         self._answered[fingerprint] = count + 1, self._read_time()
-        if len(self._answered) > _MOST_ANSWERED:
+        if len(self._answered) > _MAX_ANSWERED:
             self._answered.popitem(last=False)
 
     def find_causes(self, known: Iterable[str]) -> dict[str, int]:
-        """Return the requests that ended targets, with how many each did.
+        """Return the requests that crash targets, with their crash counts.
 
-        The one with the most ends comes first, and what it ended says
-        nothing of the others any more: whoever was there merely ran there.
+        The request with the most crashes is chosen first.  Its crashes then
+        no longer count against the other requests that ran there.
 
         :param known: causes that were found before.
         """
         found: dict[str, int] = {}
-        held = set(known)
+        known_causes = set(known)
         explained: set[str] = set()
-        for fingerprint in held:
+        for fingerprint in known_causes:
             request = self._requests.get(fingerprint)
             if request is not None:
                 explained |= set(request.crashes)
-        left = {
+        unexplained = {
             fingerprint: request.list_targets()
             for fingerprint, request in self._requests.items()
-            if fingerprint not in held
-            and len(request.crashes) >= _LEAST_CRASHES
+            if fingerprint not in known_causes
+            and len(request.crashes) >= _MIN_CRASHES
         }
-        while left:
-            left = {f: ends - explained for f, ends in left.items()}
-            causes = [f for f in left if self._is_cause(f, left)]
+        while unexplained:
+            unexplained = {
+                f: ends - explained for f, ends in unexplained.items()
+            }
+            causes = [f for f in unexplained if self._is_cause(f, unexplained)]
             if not causes:
                 break
-            best = max(causes, key=lambda f: self._rank(f, left[f]))
-            found[best] = len(left.pop(best))
+            best = max(causes, key=lambda f: self._rank(f, unexplained[f]))
+            found[best] = len(unexplained.pop(best))
             explained |= set(self._requests[best].crashes)
         return found
 
     def is_suspected(self, fingerprint: str) -> bool:
-        """Return whether earlier attempts ended targets and none came to more.
+        """Return whether several attempts crashed targets and none completed.
 
-        Such a request is not repeated for its caller: it would take one
-        more target within the time in which the first end becomes known.
+        Such a request is not retried for its caller: a retry would crash one
+        more target before the first crash is detected.
         """
-        return self._was_at_ends(fingerprint, _LEAST_ATTEMPTS)
+        return self._has_crashes(fingerprint, _MIN_ATTEMPTS)
 
-    def is_held(self, fingerprint: str) -> bool:
-        """Return whether a request waits until more is known of its targets.
+    def is_deferred(self, fingerprint: str) -> bool:
+        """Return whether a request waits until its targets' state is clear.
 
-        It broke off at as many as make a cause, some of which answer nothing
-        since.  They may have ended, and are known to have once they are back;
-        one that ends each target would take all others until then.
+        It failed at as many targets as make a cause, and some of them have
+        been unresponsive since.  They may have crashed, which is known only
+        when they are back; until then a request that crashes every target
+        would crash all others.
         """
-        return bool(self.silent.find(fingerprint)) and self._was_at_ends(
-            fingerprint, _LEAST_CRASHES
+        return bool(self.silent.find(fingerprint)) and self._has_crashes(
+            fingerprint, _MIN_CRASHES
         )
 
-    def _was_at_ends(self, fingerprint: str, least: int) -> bool:
-        """Return whether so many targets ended, or seem to, under a request.
+    def _has_crashes(self, fingerprint: str, min_targets: int) -> bool:
+        """Return whether enough targets crashed in several attempts.
 
-        In several attempts, of which none came to an answer.
+        Unresponsive targets count as crashed.  A request that was answered
+        does not qualify.
+
+        :param min_targets: minimum number of targets.
         """
         request = self._requests.get(fingerprint, _Request())
         silent = self.silent.find(fingerprint)
         targets = request.list_targets() | {run.target for run in silent}
         attempts = request.attempts | {run.attempt for run in silent}
         return (
-            len(targets) >= least
-            and len(attempts) >= _LEAST_ATTEMPTS
+            len(targets) >= min_targets
+            and len(attempts) >= _MIN_ATTEMPTS
             and not self._count_answered(fingerprint)
         )
 
-    def was_at_end(self, fingerprint: str) -> bool:
-        """Return whether a target ended lately while it ran a request.
+    def has_recent_crash(self, fingerprint: str) -> bool:
+        """Return whether a target recently ended while it ran a request.
 
-        Or seems to have, since it answers nothing.
+        An unresponsive target counts as ended.
         """
         known = self._requests.get(fingerprint)
         ended = known is not None and bool(known.crashes)
         return ended or bool(self.silent.find(fingerprint))
 
     def has_answered(self, fingerprint: str) -> bool:
-        """Return whether this gateway answered a request lately."""
+        """Return whether this gateway recently answered a request."""
         return self._read_answered(fingerprint) > 0
 
     def read_last_crash(self, fingerprint: str) -> float:
-        """Return when a request's last target ended, 0 for none."""
+        """Return the time of a request's last crash, 0 for none."""
         request = self._requests.get(fingerprint)
         return request.last_at if request is not None else 0.0
 
-    def settle(self, fingerprint: str) -> None:
-        """Take it that the ends of a request count against it no more.
+    def clear_crashes(self, fingerprint: str) -> None:
+        """Stop counting a request's crashes against it.
 
-        Peers go on telling of them for a while, so they are not forgotten.
+        Peers continue to report them for a while, so their targets stay
+        recorded.
         """
         known = self._requests.get(fingerprint)
         if known is not None:
             self._requests[fingerprint] = _Request(
                 last_at=known.last_at,
-                settled=frozenset(known.crashes),
+                cleared=frozenset(known.crashes),
             )
 
     def forget_old(self) -> None:
-        """Drop requests whose last end is long past."""
+        """Discard requests whose history has expired."""
         self.silent.forget_old()
-        limit = self._read_time() - _KEPT
+        limit = self._read_time() - _RETENTION
         for fingerprint, request in list(self._requests.items()):
             if request.last_at < limit:
                 del self._requests[fingerprint]
 
-    # What the peers are told, and tell.
+    # Exchange with peers.
 
     def list_own(self) -> list[tuple[CrashedRun, float]]:
-        """Return the ends that this gateway saw lately, and their ages.
+        """Return the crashes that this gateway recently observed, and ages.
 
-        Those of requests that were at several ends first.
+        Crashes of requests with the most crashes come first.
         """
         now = self._read_time()
         self._own = [
-            (run, at) for run, at in self._own if now - at < _TOLD_FOR
+            (run, at) for run, at in self._own if now - at < _REPORTED_FOR
         ]
 
         def rank(item: tuple[CrashedRun, float]) -> tuple[int, float]:
             request = self._requests.get(item[0].fingerprint, _Request())
             return -len(request.crashes), item[0].seconds
 
-        told = sorted(self._own, key=rank)[:_MOST_TOLD]
-        return [(run, now - at) for run, at in told]
+        reported = sorted(self._own, key=rank)[:_MAX_REPORTED]
+        return [(run, now - at) for run, at in reported]
 
     def list_answered(self) -> dict[str, int]:
-        """Return requests that ended targets, perhaps, and were answered.
+        """Return the answer counts of requests that ran at crashes.
 
-        Only answers that this gateway gave, and how many.
+        Only answers that this gateway gave count.
         """
         found: dict[str, int] = {}
         for fingerprint in reversed(self._requests):
             count = self._read_answered(fingerprint)
             if count:
                 found[fingerprint] = count
-            if len(found) >= _MOST_TOLD:
+            if len(found) >= _MAX_REPORTED:
                 break
         return found
 
     def take_answered(self, peer: str, counts: Mapping[str, int]) -> None:
-        """Take what a peer answered of such requests."""
+        """Replace the answer counts that a peer reported."""
         if counts:
-            self._others_answered[peer] = counts
+            self._peer_answers[peer] = counts
         else:
-            self._others_answered.pop(peer, None)
+            self._peer_answers.pop(peer, None)
 
     def forget_peers(self, peers: Iterable[str]) -> None:
-        """Drop what peers said that are gone."""
+        """Discard the answer counts of peers that are unreachable."""
         for peer in peers:
-            self._others_answered.pop(peer, None)
+            self._peer_answers.pop(peer, None)
 
-    def _is_cause(self, one: str, left: Mapping[str, set[str]]) -> bool:
-        """Return whether a request is the cause of what ended under it.
+    def _is_cause(
+        self, fingerprint: str, unexplained: Mapping[str, set[str]]
+    ) -> bool:
+        """Return whether a request is the cause of its unexplained crashes.
 
-        :param left: the ends that have no known cause, for each request.
+        :param unexplained: for each request, its crashes without known cause.
         """
-        ends = left[one]
-        needed = _LEAST_CRASHES * (1 + self._count_answered(one))
-        attempts = self._requests[one].attempts
-        if len(ends) < needed or len(attempts) < _LEAST_ATTEMPTS:
+        ends = unexplained[fingerprint]
+        needed = _MIN_CRASHES * (1 + self._count_answered(fingerprint))
+        attempts = self._requests[fingerprint].attempts
+        if len(ends) < needed or len(attempts) < _MIN_ATTEMPTS:
             return False
-        ended = sorted(self._requests[one].crashes[end][1] for end in ends)
-        waited = self._read_time() - ended[needed - 1]
-        if len(ends) >= needed + _SAME_CRASHES and waited >= _SAME_SECONDS:
+        crash_times = sorted(
+            self._requests[fingerprint].crashes[end][1] for end in ends
+        )
+        waited = self._read_time() - crash_times[needed - 1]
+        if (
+            len(ends) >= needed + _AMBIGUOUS_CRASHES
+            and waited >= _AMBIGUOUS_SECONDS
+        ):
             return True
         return not any(
-            ends <= other and not self._count_answered(fingerprint)
-            for fingerprint, other in left.items()
-            if fingerprint != one
+            ends <= other_ends and not self._count_answered(other)
+            for other, other_ends in unexplained.items()
+            if other != fingerprint
         )
 
-    def _rank(self, one: str, ends: set[str]) -> tuple[int, float]:
-        """Return how likely a request is a cause: most ends, shortest runs."""
-        crashes = self._requests[one].crashes
+    def _rank(self, fingerprint: str, ends: set[str]) -> tuple[int, float]:
+        """Return a sort key: most crashes first, then shortest runs."""
+        crashes = self._requests[fingerprint].crashes
         return len(ends), -sum(crashes[end][0].seconds for end in ends)
 
     def _count_answered(self, fingerprint: str) -> int:
-        others = self._others_answered.values()
+        others = self._peer_answers.values()
         return self._read_answered(fingerprint) + sum(
             counts.get(fingerprint, 0) for counts in others
         )
 
     def _read_answered(self, fingerprint: str) -> int:
-        """Return how often this gateway answered a request lately."""
+        """Return how often this gateway recently answered a request."""
         count, last_at = self._answered.get(fingerprint, (0, -math.inf))
-        return count if self._read_time() - last_at < _ANSWERS_COUNT else 0
+        return count if self._read_time() - last_at < _ANSWER_RETENTION else 0
--- a/magnoliacove/limits/gaps.py
+++ b/magnoliacove/limits/gaps.py
@@ -1,58 +1,65 @@
-"""How long a model has been without a whole path, and how long that lasts.
+"""Estimates of how long a model stays without a complete path.
 
-While no engine holds some layer, a request waits in vain until the layer is
-placed again.  How long that takes depends on the engines and the model, so
-it is learned from the gaps that were seen.
+While no engine has some layer loaded, requests cannot be served until the
+layer is placed again.  How long that takes depends on the engines and the
+model, so it is estimated from the gaps that were observed.
 """
 
 from collections.abc import Callable
 
 import trio
 
-__all__ = ["GapClock"]
+__all__ = ["GapEstimator"]
 
-# A first guess, in seconds: a lost engine is known after half a second, and
-# a small one loads its layers in 1.6 s.
-_USUAL = 2.0
+# Initial estimate of a gap's duration, in seconds: a failed engine is detected
+# after half a second, and a small engine loads its layers in 1.6 s.
+_INITIAL_DURATION = 2.0
+# Weight of the newest gap in the moving average.
 _SMOOTHING = 0.3
-# A gap that lasts longer than usual may end at any moment.
-_LEAST_LEFT = 0.3
-# Gaps are seen by requests that meet them.  One that no request has met for
-# so long has ended unseen; learned as if it went on, a short gap before a
-# quiet hour would have all requests of the next one refused.
-_UNSEEN = 0.5
+# Seconds; a gap that already lasts longer than usual may end at any moment.
+_MIN_REMAINING = 0.3
+# Gaps are observed only by requests that arrive during them.  A gap that no
+# request has observed for this many seconds is assumed to have ended.  If it
+# counted as continuing, a short gap before an hour without requests would
+# cause all requests of the next gap to be refused.
+_OBSERVATION_TIMEOUT = 0.5
 
 
-class GapClock:
-    """The gaps of one model's layers, as one gateway sees them.
+class GapEstimator:
+    """The gaps in one model's layers, as one gateway observes them.
 
-    :param usual: how long a gap lasts, in seconds, as a moving mean.
+    :param usual: the moving average of the duration of gaps, in seconds.
     """
 
     def __init__(
         self, read_time: Callable[[], float] = trio.current_time
     ) -> None:
-        self.usual = _USUAL
+        self.usual = _INITIAL_DURATION
         self._read_time = read_time
-        self._since: float | None = None
-        self._seen_at = 0.0
+        self._gap_since: float | None = None
+        self._observed_at = 0.0
 
-    def note(self, whole: bool) -> None:
-        """Take it that some engine holds each layer now, or that none does."""
+    def note(self, complete: bool) -> None:
+        """Record whether every layer is loaded on some engine now.
+
+        :param complete: whether every layer is loaded somewhere.
+        """
         now = self._read_time()
-        if self._since is not None:
-            ended = min(now, self._seen_at + _UNSEEN)
-            if whole or ended < now:
-                self.usual += _SMOOTHING * (ended - self._since - self.usual)
-                self._since = None
-        if whole:
+        if self._gap_since is not None:
+            ended = min(now, self._observed_at + _OBSERVATION_TIMEOUT)
+            if complete or ended < now:
+                self.usual += _SMOOTHING * (
+                    ended - self._gap_since - self.usual
+                )
+                self._gap_since = None
+        if complete:
             return
-        self._since = now if self._since is None else self._since
-        self._seen_at = now
+        self._gap_since = now if self._gap_since is None else self._gap_since
+        self._observed_at = now
 
-    def read_left(self) -> float:
-        """Return the seconds until the gap probably ends, 0 without one."""
-        if self._since is None:
+    def estimate_remaining(self) -> float:
+        """Return the expected seconds until the gap ends, 0 without a gap."""
+        if self._gap_since is None:
             return 0.0
-        lasted = self._read_time() - self._since
-        return max(_LEAST_LEFT, self.usual - lasted)
+        lasted = self._read_time() - self._gap_since
+        return max(_MIN_REMAINING, self.usual - lasted)
--- a/magnoliacove/limits/grants.py
+++ b/magnoliacove/limits/grants.py
@@ -1,13 +1,15 @@
-"""Parts of a target's limit, handed out to gateways.
-
-A target names one limit for all gateways together.  Each target has a keeper
-among them, the same one in the view of all that hear each other.  The keeper
-divides the limit by what the gateways have to send, and tells with its
-heartbeats.  A gateway that has no part sends nothing.
-
-Few gateways get a part.  Each of them saves up one whole request, so as many
-as there are parts may come at the same moment: with a part for each of 330
-gateways a target that takes one request a second would get all 330.
+"""Shares of a target's rate limit, granted to gateways.
+
+A target announces one limit for all gateways together.  One gateway
+coordinates each target's limit; all gateways that receive each other's
+heartbeats select the same coordinator.  The coordinator divides the limit in
+proportion to the gateways' request rates and announces the grants in its
+heartbeats.  A gateway without a grant sends the target no requests.
+
+Only a few gateways get a grant.  Each of them may accumulate one whole
+request, so as many requests as there are grants may arrive at the same
+moment: with a grant for each of 330 gateways, a target that accepts one
+request per second would receive all 330.
 """
 
 from collections.abc import Callable
@@ -22,29 +24,30 @@
 
 __all__ = ["Grant", "GrantBook", "divide_limit"]
 
-# More parts than the requests a second by so many: a gateway has none for the
-# target at times, and then its part is not used.
-_BEYOND = 2
-# A gateway that has a part counts as if it had so many times its requests:
-# what it saved up would be lost with each change.
-_STAYS = 4.0
-# A target that takes next to nothing is asked so often all the same, requests
-# a second, or nobody would find out that its need is over.
-_LEAST_RATE = 0.1
-# A part saves up what it allows in so many seconds, one request at least.
+# Number of grants beyond the requests per second: a gateway may have no
+# requests for the target for a while, and its grant is then unused.
+_EXTRA_GRANTS = 2
+# Factor on the request rate of a gateway that already has a grant: the
+# requests that it has accumulated would be lost with each change.
+_INCUMBENT_FACTOR = 4.0
+# Requests per second that are sent even to a target with a lower limit;
+# otherwise no gateway would detect that its overload is over.
+_MIN_RATE = 0.1
+# Seconds of its rate that a grant may accumulate, at least one request.
 _SAVED_SECONDS = 0.25
-# What was saved up is kept for so long, in seconds, while no keeper grants the
-# part: keepers come and go, and the next one mostly grants it to the same.
-_KEPT = 3.0
-# A gateway that tells of no requests is taken to have so many a second.
-_LEAST_PACE = 0.01
+# Seconds for which accumulated requests are kept while no coordinator grants
+# a share: coordinators change, and the next one usually grants the share to
+# the same gateway.
+_SAVED_RETENTION = 3.0
+# Requests per second that a gateway is assumed to have when it reports none.
+_MIN_REQUEST_RATE = 0.01
 
 
 @dataclass(frozen=True)
 class Grant:
-    """A part of a target's limit.
+    """A gateway's share of a target's limit.
 
-    :param rate: requests a second that the gateway may send it.
+    :param rate: requests per second that the gateway may send the target.
     """
 
     target: str
@@ -58,62 +61,68 @@
     paces: Mapping[str, float],
     present: Collection[str] = (),
 ) -> list[Grant]:
-    """Return the parts of a limit.
+    """Return the grants that divide a limit.
 
-    Which gateways get one is drawn by their names and the target's, those
-    with more requests more often, so the parts of several targets lie with
-    different gateways and stay with them.
+    Gateways are ranked by a weighted hash of their names and the target's,
+    with the request rate as the weight.  So different gateways get the grants
+    of different targets, and they keep them.
 
-    :param paces: requests a second that each gateway has for the target's
+    :param paces: each gateway's requests per second for the target's
         service.
-    :param present: the gateways that have a part now.
+    :param present: the gateways that have a grant now.
     """
-    rate = max(limit, _LEAST_RATE)
-    paces = {name: max(pace, _LEAST_PACE) for name, pace in paces.items()}
+    rate = max(limit, _MIN_RATE)
+    paces = {
+        name: max(pace, _MIN_REQUEST_RATE) for name, pace in paces.items()
+    }
     weights = {
-        name: pace * (_STAYS if name in present else 1.0)
+        name: pace * (_INCUMBENT_FACTOR if name in present else 1.0)
         for name, pace in paces.items()
     }
     ranked = sorted(
-        weights, key=lambda name: _draw_rank(target, name, weights[name])
+        weights, key=lambda name: _compute_rank(target, name, weights[name])
     )
-    chosen = ranked[: math.floor(rate) + _BEYOND]
+    chosen = ranked[: math.floor(rate) + _EXTRA_GRANTS]
     total = sum(paces[name] for name in chosen)
     return [Grant(target, name, rate * paces[name] / total) for name in chosen]
 
 
-def _draw_rank(target: str, gateway: str, weight: float) -> float:
-    """Return the same draw at each gateway; low ones are likely by weight."""
+def _compute_rank(target: str, gateway: str, weight: float) -> float:
+    """Return a rank that is the same at each gateway.
+
+    A higher weight makes a low rank more likely.
+    """
     data = f"{gateway}\0{target}".encode()
     digest = hashlib.blake2b(data, digest_size=8).digest()
-    part = (int.from_bytes(digest, "big") + 1) / 2**64
-    return -math.log(part) / weight
+    fraction = (int.from_bytes(digest, "big") + 1) / 2**64
+    return -math.log(fraction) / weight
 
 
 @dataclass
 class _Allowance:
-    """What this gateway may send one target.
+    """The requests that this gateway may send one target.
 
-    :param rate: requests a second, 0 while it has no part.
-    :param granted_at: when it had a part last.
-    :param saved: requests that it may send now, if it has a part.
+    :param rate: requests per second, 0 while there is no grant.
+    :param updated_at: when `saved` was last updated.
+    :param granted_at: when there was last a grant.
+    :param saved: accumulated requests, usable while there is a grant.
     """
 
     rate: float
-    at: float
+    updated_at: float
     granted_at: float
     saved: float = 0.0
 
     def refresh(self, now: float) -> None:
-        """Add what was allowed since."""
-        most = max(1.0, self.rate * _SAVED_SECONDS)
-        added = self.rate * max(0.0, now - self.at)
-        self.saved = min(most, self.saved + added)
-        self.at = now
+        """Add the requests that were allowed since the last update."""
+        max_saved = max(1.0, self.rate * _SAVED_SECONDS)
+        added = self.rate * max(0.0, now - self.updated_at)
+        self.saved = min(max_saved, self.saved + added)
+        self.updated_at = now
 
 
 class GrantBook:
-    """The parts that this gateway was given.
+    """The grants that this gateway has received.
 
     :param name: this gateway.
     :param read_time: returns seconds.
@@ -124,51 +133,53 @@
     ) -> None:
         self._name = name
         self._read_time = read_time
-        # By keeper, then by target.
-        self._given: dict[str, dict[str, float]] = {}
+        # Requests per second by coordinator, then by target.
+        self._granted: dict[str, dict[str, float]] = {}
         self._allowances: dict[str, _Allowance] = {}
 
-    def take(self, keeper: str, grants: Iterable[Grant]) -> None:
-        """Take all that a keeper grants now, in place of what it did."""
-        given = {
+    def take(self, coordinator: str, grants: Iterable[Grant]) -> None:
+        """Replace the grants of a coordinator with its current ones."""
+        granted = {
             grant.target: grant.rate
             for grant in grants
             if grant.gateway == self._name
         }
-        if given:
-            self._given[keeper] = given
+        if granted:
+            self._granted[coordinator] = granted
         else:
-            self._given.pop(keeper, None)
+            self._granted.pop(coordinator, None)
 
     def forget(self, gateways: Iterable[str]) -> None:
-        """Drop what keepers granted that are gone."""
+        """Discard the grants of gateways that are unreachable."""
         for name in gateways:
-            self._given.pop(name, None)
+            self._granted.pop(name, None)
 
-    def renew(self, keepers: Mapping[str, str]) -> None:
-        """Go by the targets' present keepers.
+    def renew(self, coordinators: Mapping[str, str]) -> None:
+        """Apply the grants of the targets' current coordinators.
 
-        :param keepers: of all targets that have a limit.
+        :param coordinators: the coordinator of each target with a limit.
         """
         now = self._read_time()
-        for target in set(self._allowances) - set(keepers):
+        for target in set(self._allowances) - set(coordinators):
             del self._allowances[target]
-        for target, keeper in keepers.items():
-            rate = self._given.get(keeper, {}).get(target, 0.0)
+        for target, coordinator in coordinators.items():
+            rate = self._granted.get(coordinator, {}).get(target, 0.0)
             allowance = self._allowances.get(target)
             if allowance is None and rate:
                 self._allowances[target] = _Allowance(rate, now, now)
             elif allowance is not None:
-                self._change(target, allowance, rate)
+                self._update_rate(target, allowance, rate)
 
-    def _change(self, target: str, allowance: _Allowance, rate: float) -> None:
+    def _update_rate(
+        self, target: str, allowance: _Allowance, rate: float
+    ) -> None:
         now = self._read_time()
         allowance.refresh(now)
         allowance.rate = rate
         if rate:
             allowance.granted_at = now
-        elif now - allowance.granted_at > _KEPT:
-            # Another gateway has the part for good.
+        elif now - allowance.granted_at > _SAVED_RETENTION:
+            # The grant has moved to another gateway permanently.
             del self._allowances[target]
 
     def may_send(self, target: str) -> bool:
@@ -176,19 +187,19 @@
         return self.read_wait(target) <= 0.0
 
     def spend(self, target: str) -> None:
-        """Count a request that goes to a target."""
+        """Count a request that is sent to a target."""
         allowance = self._allowances.get(target)
         if allowance is not None:
             allowance.refresh(self._read_time())
             allowance.saved -= 1.0
 
     def read_rate(self, target: str) -> float:
-        """Return the requests a second that may go there from here."""
+        """Return the requests per second granted for a target."""
         allowance = self._allowances.get(target)
         return allowance.rate if allowance is not None else 0.0
 
     def read_wait(self, target: str) -> float:
-        """Return seconds until a request may go there, infinity for never."""
+        """Return seconds until a request may be sent, infinity for never."""
         allowance = self._allowances.get(target)
         if allowance is None or not allowance.rate:
             return math.inf
--- a/magnoliacove/limits/load.py
+++ b/magnoliacove/limits/load.py
@@ -1,7 +1,7 @@
-"""What runs where: own requests, and what the other entries say.
+"""The load of each target: own requests and those of the other entries.
 
-Engines' reports lag.  What this process sent is known at once, and what
-the others sent reaches it with their next heartbeat.
+The engines' own reports lag.  The requests that this process sends are
+counted at once, and those of the other entries with their next heartbeat.
 """
 
 from collections.abc import Iterable
@@ -15,17 +15,18 @@
 
 @dataclass(frozen=True)
 class TargetLoad:
-    """What passes through one target.
+    """The load of one target.
 
-    :param requests: how many requests.
-    :param token_layers: the memory that they will hold at their end.
+    :param requests: number of requests.
+    :param token_layers: the memory that they will occupy at their end, in
+        tokens times layers.
     """
 
     requests: int = 0
     token_layers: float = 0.0
 
     def add(self, requests: int, token_layers: float) -> "TargetLoad":
-        """Return the load with some more of it, or less."""
+        """Return the sum with a load, which may be negative."""
         return TargetLoad(
             self.requests + requests, self.token_layers + token_layers
         )
@@ -33,21 +34,22 @@
 
 @dataclass(frozen=True)
 class Reservation:
-    """The parts of targets that one request holds.
+    """The capacity of targets that one request occupies.
 
     :param parts: target names and token-layers.
+    :param crossings: hops between data centres on the path.
     """
 
     parts: tuple[tuple[str, float], ...]
     crossings: int = 0
 
 
-_NOTHING = TargetLoad()
+_NO_LOAD = TargetLoad()
 
 
 @dataclass(slots=True)
 class _Total:
-    """A running sum; changed in place, some thousand times a second."""
+    """A running sum, updated in place some thousand times a second."""
 
     requests: int = 0
     token_layers: float = 0.0
@@ -55,19 +57,19 @@
 
 @dataclass(frozen=True)
 class _Report:
-    """What another entry said of its own load."""
+    """The load that another entry reported."""
 
     loads: Mapping[str, TargetLoad]
     crossings: int
 
 
 class LoadBook:
-    """The load of every target, own and others'.
+    """The load of every target, from this entry and all others.
 
-    The others' loads are kept as running sums: what an entry said before is
-    taken off, what it says now is added.  Adding up all entries for each
-    heartbeat costs the square of their number, and callers of a large fleet's
-    small instances would wait for it.
+    The load of other entries is kept as running sums: an entry's previous
+    report is subtracted and its new one added.  Adding up the reports of all
+    entries at each heartbeat would cost the square of their number, and
+    callers of small instances in a large fleet would wait for it.
     """
 
     def __init__(self) -> None:
@@ -83,7 +85,7 @@
         return self.crossings + self._other_crossings
 
     def reserve_path(self, path: Path, tokens: float) -> Reservation:
-        """Count a request on every engine of its path."""
+        """Count a request on every engine of a path."""
         parts = tuple(
             (stage.target, tokens * (stage.end - stage.first))
             for stage in path.stages
@@ -95,37 +97,37 @@
         return self._reserve(Reservation(((target, 0.0),)))
 
     def release(self, reservation: Reservation) -> None:
-        """Count a request no longer."""
+        """Stop counting a request."""
         self.crossings -= reservation.crossings
         for target, token_layers in reservation.parts:
-            left = self._own[target].add(-1, -token_layers)
-            if left.requests > 0:
-                self._own[target] = left
+            remaining = self._own[target].add(-1, -token_layers)
+            if remaining.requests > 0:
+                self._own[target] = remaining
             else:
                 del self._own[target]
 
     def read(self, target: str) -> TargetLoad:
-        """Return what passes through a target, as far as is known."""
-        own = self._own.get(target, _NOTHING)
+        """Return the known load of a target, from all entries."""
+        own = self._own.get(target, _NO_LOAD)
         others = self.read_others(target)
         return own.add(others.requests, others.token_layers)
 
     def read_others(self, target: str) -> TargetLoad:
-        """Return what other entries said that passes through a target."""
+        """Return the load of a target that other entries reported."""
         total = self._sums.get(target)
         if total is None:
-            return _NOTHING
+            return _NO_LOAD
         return TargetLoad(total.requests, total.token_layers)
 
     def list_own(self) -> Mapping[str, TargetLoad]:
-        """Return the load that this process caused."""
+        """Return the load of each target from this process."""
         return self._own
 
     def take_others(
         self, entry: str, loads: Mapping[str, TargetLoad], crossings: int
     ) -> None:
-        """Take what another entry says of its own load."""
-        self._take_off(entry)
+        """Replace the load that another entry reported."""
+        self._subtract(entry)
         report = _Report(loads, crossings)
         self._others[entry] = report
         self._other_crossings += crossings
@@ -133,24 +135,24 @@
             self._add(target, load.requests, load.token_layers)
 
     def forget(self, entries: Iterable[str]) -> None:
-        """Drop what entries said that are gone."""
+        """Discard the reports of entries that are unreachable."""
         for entry in entries:
-            self._take_off(entry)
+            self._subtract(entry)
 
     def _reserve(self, reservation: Reservation) -> Reservation:
         self.crossings += reservation.crossings
         for target, token_layers in reservation.parts:
-            load = self._own.get(target, _NOTHING)
+            load = self._own.get(target, _NO_LOAD)
             self._own[target] = load.add(1, token_layers)
         return reservation
 
-    def _take_off(self, entry: str) -> None:
-        """Take what an entry said last off the sums."""
-        before = self._others.pop(entry, None)
-        if before is None:
+    def _subtract(self, entry: str) -> None:
+        """Subtract an entry's last report from the sums."""
+        previous = self._others.pop(entry, None)
+        if previous is None:
             return
-        self._other_crossings -= before.crossings
-        for target, load in before.loads.items():
+        self._other_crossings -= previous.crossings
+        for target, load in previous.loads.items():
             self._add(target, -load.requests, -load.token_layers)
 
     def _add(self, target: str, requests: int, token_layers: float) -> None:
@@ -158,7 +160,7 @@
         if total is None:
             total = self._sums[target] = _Total()
         total.requests += requests
-        # Token-layers come as whole numbers, so nothing is left by rounding.
+        # Token-layers are whole numbers, so the sums have no rounding error.
         total.token_layers += token_layers
         if not total.requests and not total.token_layers:
             del self._sums[target]
--- a/magnoliacove/limits/permits.py
+++ b/magnoliacove/limits/permits.py
@@ -1,4 +1,8 @@
-"""Whether a request, or a question of our own, may go to a target now."""
+"""Whether a request or an own query may be sent to a target now.
+
+An own query is a call that a gateway makes on its own behalf: a report, an
+order or another question that no caller asked for.
+"""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -11,15 +15,15 @@
 
 __all__ = ["Permits"]
 
-# The part of a limit that the holder of the placement duty may use for
-# reports and orders, beside the requests of callers.
-_DUTY_PART = 0.25
-# Requests a second that such a target gets of the duty at least.
-_LEAST_DUTY_RATE = 0.05
+# Fraction of a limit that the placement leader may use for reports and orders,
+# in addition to the requests of callers.
+_LEADER_FRACTION = 0.25
+# Minimum rate of the leader's calls to a limited target, per second.
+_MIN_LEADER_RATE = 0.05
 
 
 class Permits:
-    """Goes by what targets ask, and by what the gateways share.
+    """Combines the targets' backpressure with this gateway's grants.
 
     :param read_time: returns seconds.
     """
@@ -34,39 +38,39 @@
         self._book = book
         self._grants = grants
         self._read_time = read_time
-        # When the duty's holder may ask each target again.
-        self._duty_next: dict[str, float] = {}
+        # The time of the placement leader's next permitted call, by target.
+        self._next_leader_call: dict[str, float] = {}
 
     def may_send(self, target: str) -> bool:
         """Return whether a request may go to a target now."""
         return self.read_wait(target) <= 0.0
 
     def is_closed(self, target: str) -> bool:
-        """Return whether a target may not even run what others hand on."""
-        return self.is_leaving(target) or self._book.read_rest(target) > 0.0
+        """Return whether a target accepts no work, not even forwarded work."""
+        return self.is_leaving(target) or self._book.read_backoff(target) > 0.0
 
     def is_leaving(self, target: str) -> bool:
-        """Return whether a target said that it leaves.
+        """Return whether a target has announced that it leaves.
 
-        It may be asked questions, and is told how to end what it runs.
+        It may still be queried, and may be told how to finish its runs.
         """
         return self._book.is_leaving(target)
 
     def is_limited(self, target: str) -> bool:
-        """Return whether a target has a limit for all gateways."""
+        """Return whether a target has a rate limit for all gateways."""
         return self._book.read_limit(target) is not None
 
     def read_wait(self, target: str) -> float:
-        """Return seconds until a request may go there, infinity for never."""
+        """Return seconds until a request may be sent, infinity for never."""
         if self.is_leaving(target):
             return math.inf
-        wait = self._book.read_rest(target)
+        wait = self._book.read_backoff(target)
         if self.is_limited(target):
             wait = max(wait, self._grants.read_wait(target))
         return wait
 
     def read_rate(self, target: str) -> float:
-        """Return the requests a second that a target takes from here."""
+        """Return the requests per second that this gateway may send."""
         if self.is_leaving(target):
             return 0.0
         if self.is_limited(target):
@@ -74,20 +78,21 @@
         return math.inf
 
     def note_sent(self, targets: Iterable[str]) -> None:
-        """Count a request that goes to some targets.
+        """Count a request that is sent to some targets.
 
-        What passes a target beyond its limit takes nothing of what comes.
+        A request that passes a target beyond its limit does not reduce the
+        requests that the target may be sent later.
         """
         for target in targets:
             if self._grants.may_send(target):
                 self._grants.spend(target)
 
     def try_call(self, target: str) -> bool:
-        """Count a question to a target, if it may be asked one now.
+        """Count an own query to a target and return whether it may be sent.
 
-        It counts as much as a caller's request.
+        A query counts as much as a caller's request.
         """
-        if self._book.read_rest(target) > 0.0:
+        if self._book.read_backoff(target) > 0.0:
             self.withheld += 1
             return False
         if not self.is_limited(target):
@@ -98,26 +103,29 @@
         self._grants.spend(target)
         return True
 
-    def may_call_for_duty(self, target: str) -> bool:
-        """Return whether the duty's holder may ask a target now."""
-        if self._book.read_rest(target) > 0.0:
+    def may_call_as_leader(self, target: str) -> bool:
+        """Return whether the placement leader may call a target now."""
+        if self._book.read_backoff(target) > 0.0:
             return False
         if not self.is_limited(target):
             return True
-        return self._read_time() >= self._duty_next.get(target, 0.0)
+        return self._read_time() >= self._next_leader_call.get(target, 0.0)
 
-    def try_call_for_duty(self, target: str) -> bool:
-        """Count a report or an order of the duty, if there may be one now."""
-        if not self.may_call_for_duty(target):
+    def try_call_as_leader(self, target: str) -> bool:
+        """Count a report or order and return whether it may be sent."""
+        if not self.may_call_as_leader(target):
             self.withheld += 1
             return False
         limit = self._book.read_limit(target)
         if limit is not None:
-            rate = max(limit * _DUTY_PART, _LEAST_DUTY_RATE)
-            self._duty_next[target] = self._read_time() + 1 / rate
+            rate = max(limit * _LEADER_FRACTION, _MIN_LEADER_RATE)
+            self._next_leader_call[target] = self._read_time() + 1 / rate
         return True
 
     def forget(self, known: set[str]) -> None:
-        """Drop what is known of targets that no longer exist."""
-        for target in set(self._duty_next) - known:
-            del self._duty_next[target]
+        """Discard the state of targets that no longer exist.
+
+        :param known: the targets that exist.
+        """
+        for target in set(self._next_leader_call) - known:
+            del self._next_leader_call[target]
--- a/magnoliacove/limits/quarantine.py
+++ b/magnoliacove/limits/quarantine.py
@@ -1,8 +1,9 @@
-"""Requests that are kept away from targets, since they end them.
+"""Quarantine of requests that crash their targets.
 
-A quarantine lasts for a time.  After it one gateway lets a single request
-through, and after as long again each gateway does: if one is answered the
-quarantine is over everywhere, if it ends its target a longer one begins.
+A quarantine blocks a request for a limited time.  Then one gateway admits a
+single trial request, and after as long again each gateway does.  If a trial
+is answered, the quarantine ends everywhere; if it crashes its target, a
+longer quarantine begins.
 """
 
 from collections.abc import Callable
@@ -14,46 +15,49 @@
 
 from magnoliacove.timeline import Recorder
 
-__all__ = ["LONGEST", "Quarantine", "QuarantineBook"]
-
-# The first quarantine of a request, and the longest, in seconds; each is so
-# many times as long as the one before.  A request that ends targets whenever
-# it comes costs three of them, then one a minute later, one after four more
-# and at last one an hour.  One that was taken for the cause wrongly, and has
-# no run in progress that shows it, is refused for a minute.
-_FIRST = 60.0
-LONGEST = 3600.0
-_GROWS = 4.0
-# Targets that end so soon after a quarantine began, in seconds, were sent the
-# request before all gateways knew; later ends begin the next one.
-_STILL_RUNNING = 5.0
-# A request that is let through has ended its target, or shown that it does
-# not, within so many seconds.
-_TRIAL = 5.0
-# A quarantine that has lasted twice its time is forgotten so many seconds
-# later, and three targets would have to end again.  A request that comes once
-# in minutes, to any of 330 gateways, seldom meets the one that tries it first.
-_REMEMBERED = 600.0
-# Callers are told to come back after this at the earliest, seconds.
-_LEAST_WAIT = 1.0
-# Requests that are remembered, 210 bytes each, and told in one heartbeat, 17
-# bytes each.
-_MOST_KEPT = 1024
-_MOST_TOLD = 8
-# How long it is told that a quarantine is over, in seconds: longer than any
-# peer that still believes in it may stay unheard.
-_ENDED_KEPT = 120.0
+__all__ = ["MAX_QUARANTINE", "Quarantine", "QuarantineBook"]
+
+# Seconds of the first quarantine of a request and of the longest one, and the
+# factor between two successive ones.  A request that crashes a target each
+# time it runs crashes three of them, then one a minute later, one after four
+# more minutes and finally one an hour.  A request that is wrongly identified
+# as the cause, and has no run in progress that proves it harmless, is refused
+# for a minute.
+_INITIAL_QUARANTINE = 60.0
+MAX_QUARANTINE = 3600.0
+_GROWTH_FACTOR = 4.0
+# Seconds after the beginning of a quarantine during which crashes do not begin
+# the next one: their targets were sent the request before all gateways had
+# received the quarantine.
+_PROPAGATION_TIME = 5.0
+# Seconds within which a trial request has crashed its target or has shown that
+# it does not.
+_TRIAL_TIME = 5.0
+# Seconds until a quarantine that has lasted twice its time expires; afterwards
+# three targets would have to crash again.  A request that arrives once in
+# minutes, at any of 330 gateways, seldom arrives at the one that admits the
+# first trial.
+_RETENTION = 600.0
+# Minimum `Retry-After` in seconds.
+_MIN_WAIT = 1.0
+# Maximum number of quarantines in memory, 210 bytes each, and in one
+# heartbeat, 17 bytes each.
+_MAX_QUARANTINES = 1024
+_MAX_REPORTED = 8
+# Seconds for which the end of a quarantine is reported: longer than any peer
+# that still has the quarantine may stay unreachable.
+_ENDED_RETENTION = 120.0
 
 
 @dataclass(frozen=True)
 class Quarantine:
-    """The quarantine of one request, or that it is over.
+    """The quarantine of one request, or its early end.
 
-    :param round: grows each time a quarantine of this request begins or is
-        ended early; the higher one counts.
+    :param round: version number, incremented each time a quarantine of this
+        request begins or is ended early; the highest one applies.
     :param since: when it began or was ended, by this process's clock.
-    :param seconds: how long it lasts, 0 when it was ended early.
-    :param crashes: the targets that the request ended.
+    :param seconds: duration of the quarantine, 0 when it was ended early.
+    :param crashes: number of targets that the request crashed.
     """
 
     fingerprint: str
@@ -64,33 +68,33 @@
 
     @property
     def in_force(self) -> bool:
-        """Whether the request is kept away, or may be tried again at most."""
+        """Whether the request is blocked, except for trials."""
         return self.seconds > 0
 
     @property
     def until(self) -> float:
-        """When the request may be tried again."""
+        """When one gateway may admit a trial request."""
         return self.since + self.seconds
 
     @property
     def open_at(self) -> float:
-        """When each gateway may try the request again, not one alone."""
+        """When every gateway may admit trial requests."""
         return self.since + 2 * self.seconds
 
     @property
-    def forgotten_at(self) -> float:
-        """When nothing is left of it."""
+    def expires_at(self) -> float:
+        """When the quarantine, or the record of its end, expires."""
         if not self.in_force:
-            return self.since + _ENDED_KEPT
-        return self.open_at + _REMEMBERED
+            return self.since + _ENDED_RETENTION
+        return self.open_at + _RETENTION
 
 
 class QuarantineBook:
-    """The quarantines that one gateway knows of.
+    """The quarantines that one gateway enforces.
 
-    :param owns: whether this gateway is the one that tries a request again
-        first, given its fingerprint.
-    :param refused: requests that were refused for a quarantine.
+    :param owns: returns whether this gateway admits the first trial of the
+        request with a fingerprint.
+    :param refused: number of requests that a quarantine refused.
     """
 
     def __init__(
@@ -108,127 +112,143 @@
 
     def find(self, fingerprint: str) -> Quarantine | None:
         """Return a request's quarantine, None when there is none."""
-        found = self._known.get(fingerprint)
-        if found is None or not found.in_force:
+        quarantine = self._known.get(fingerprint)
+        if quarantine is None or not quarantine.in_force:
             return None
-        return found if self._read_time() < found.forgotten_at else None
+        return (
+            quarantine if self._read_time() < quarantine.expires_at else None
+        )
 
     def admit(self, fingerprint: str) -> float:
         """Return 0 when a request may run, else seconds until it may.
 
-        Once a quarantine has lasted its time the request is let through
-        here, one at a time, if this gateway may try it.
+        Once the quarantine has lasted its time, trial requests are admitted
+        one at a time, if this gateway may admit them.
         """
-        found = self.find(fingerprint)
-        if found is None:
+        quarantine = self.find(fingerprint)
+        if quarantine is None:
             return 0.0
         now = self._read_time()
-        tried = now - self._tried_at.get(fingerprint, -math.inf) < _TRIAL
-        if not tried and self._may_try(found, now):
+        tried = now - self._tried_at.get(fingerprint, -math.inf) < _TRIAL_TIME
+        if not tried and self._may_try(quarantine, now):
             self._tried_at[fingerprint] = now
             self._recorder.record(
                 "quarantine-tried",
                 fingerprint=fingerprint,
-                round=found.round,
-                why="it has lasted its time",
+                round=quarantine.round,
+                why="the quarantine has lasted its time",
             )
             return 0.0
         self.refused += 1
-        return max(_LEAST_WAIT, found.until - now)
+        return max(_MIN_WAIT, quarantine.until - now)
 
-    def _may_try(self, found: Quarantine, now: float) -> bool:
-        if now < found.until:
+    def _may_try(self, quarantine: Quarantine, now: float) -> bool:
+        if now < quarantine.until:
             return False
-        return now >= found.open_at or self._owns(found.fingerprint)
+        return now >= quarantine.open_at or self._owns(quarantine.fingerprint)
 
     def begin(self, fingerprint: str, crashes: int, why: str) -> Quarantine:
-        """Begin a quarantine, or one that is longer than the one before."""
-        before = self._known.get(fingerprint)
-        held = self.find(fingerprint)
-        seconds = min(held.seconds * _GROWS, LONGEST) if held else _FIRST
-        found = Quarantine(
+        """Begin a quarantine, longer than a previous one that is in force."""
+        latest = self._known.get(fingerprint)
+        current = self.find(fingerprint)
+        seconds = (
+            min(current.seconds * _GROWTH_FACTOR, MAX_QUARANTINE)
+            if current
+            else _INITIAL_QUARANTINE
+        )
+        quarantine = Quarantine(
             fingerprint,
-            before.round + 1 if before else 1,
+            latest.round + 1 if latest else 1,
             self._read_time(),
             seconds,
             crashes,
         )
-        self._put(found, why)
-        return found
+        self._put(quarantine, why)
+        return quarantine
 
     def end(self, fingerprint: str, why: str) -> Quarantine | None:
         """End a quarantine early; return None when there is none."""
-        held = self.find(fingerprint)
-        if held is None:
+        current = self.find(fingerprint)
+        if current is None:
             return None
         ended = Quarantine(
-            fingerprint, held.round + 1, self._read_time(), 0.0, held.crashes
+            fingerprint,
+            current.round + 1,
+            self._read_time(),
+            0.0,
+            current.crashes,
         )
         self._put(ended, why)
         return ended
 
-    def take(self, told: Quarantine, source: str) -> bool:
-        """Take what another gateway or the store says; return if it was news.
+    def take(self, reported: Quarantine, source: str) -> bool:
+        """Apply a quarantine that another gateway or the store reports.
 
-        :param source: who says so, for the log.
+        :param source: who reports it, for the log.
+        :returns: whether it was newer than the known one.
         """
-        known = self._known.get(told.fingerprint)
-        if known is not None and told.round <= known.round:
+        known = self._known.get(reported.fingerprint)
+        if known is not None and reported.round <= known.round:
             return False
-        if self._read_time() >= told.forgotten_at:
+        if self._read_time() >= reported.expires_at:
             return False
-        self._put(told, f"from {source}")
+        self._put(reported, f"from {source}")
         return True
 
-    def is_tried_again(self, fingerprint: str, crashed_at: float) -> bool:
-        """Return whether a target ended under a request in quarantine.
+    def crashed_again(self, fingerprint: str, crashed_at: float) -> bool:
+        """Return whether a quarantined request crashed another target.
 
-        :param crashed_at: when its last target ended.
+        :param crashed_at: when the request's last target ended.
         """
-        held = self.find(fingerprint)
-        return held is not None and crashed_at >= held.since + _STILL_RUNNING
+        current = self.find(fingerprint)
+        return (
+            current is not None
+            and crashed_at >= current.since + _PROPAGATION_TIME
+        )
 
     def list_all(self) -> list[Quarantine]:
         """Return the quarantines that are in force."""
         return [q for q in map(self.find, tuple(self._known)) if q]
 
     def list_own(self) -> list[Quarantine]:
-        """Return those of requests that this gateway would try first."""
+        """Return the quarantines whose first trial this gateway admits."""
         return [q for q in self.list_all() if self._owns(q.fingerprint)]
 
-    def draw_told(self) -> list[tuple[Quarantine, float]]:
-        """Return what the next heartbeat tells, and the age of each.
+    def sample_for_heartbeat(self) -> list[tuple[Quarantine, float]]:
+        """Return the quarantines for the next heartbeat, and their ages.
 
-        Others each time where there are more than fit.
+        When there are more than fit, they are a new random sample each time.
         """
-        self._forget()
+        self._drop_expired()
         now = self._read_time()
-        told = list(self._known.values())
-        if len(told) > _MOST_TOLD:
-            told = random.sample(told, _MOST_TOLD)
-        return [(one, now - one.since) for one in told]
-
-    def _put(self, found: Quarantine, why: str) -> None:
-        self._known[found.fingerprint] = found
-        self._tried_at.pop(found.fingerprint, None)
+        reported = list(self._known.values())
+        if len(reported) > _MAX_REPORTED:
+            reported = random.sample(reported, _MAX_REPORTED)
+        return [
+            (quarantine, now - quarantine.since) for quarantine in reported
+        ]
+
+    def _put(self, quarantine: Quarantine, why: str) -> None:
+        self._known[quarantine.fingerprint] = quarantine
+        self._tried_at.pop(quarantine.fingerprint, None)
         self._recorder.record(
-            "quarantine-begun" if found.in_force else "quarantine-ended",
-            fingerprint=found.fingerprint,
+            "quarantine-begun" if quarantine.in_force else "quarantine-ended",
+            fingerprint=quarantine.fingerprint,
             why=why,
-            round=found.round,
-            crashes=found.crashes,
-            seconds=round(found.seconds, 1),
-            age=round(self._read_time() - found.since, 1),
+            round=quarantine.round,
+            crashes=quarantine.crashes,
+            seconds=round(quarantine.seconds, 1),
+            age=round(self._read_time() - quarantine.since, 1),
         )
-        if len(self._known) > _MOST_KEPT:
-            oldest = min(self._known.values(), key=lambda one: one.since)
+        if len(self._known) > _MAX_QUARANTINES:
+            oldest = min(self._known.values(), key=lambda known: known.since)
             self._drop(oldest.fingerprint)
 
-    def _forget(self) -> None:
+    def _drop_expired(self) -> None:
         now = self._read_time()
-        for one in tuple(self._known.values()):
-            if now >= one.forgotten_at:
-                self._drop(one.fingerprint)
+        for quarantine in tuple(self._known.values()):
+            if now >= quarantine.expires_at:
+                self._drop(quarantine.fingerprint)
 
     def _drop(self, fingerprint: str) -> None:
         del self._known[fingerprint]
--- a/magnoliacove/limits/retries.py
+++ b/magnoliacove/limits/retries.py
@@ -1,4 +1,4 @@
-"""A budget for retries, so that a failure does not multiply the load."""
+"""Retry budgets, which keep retries from multiplying the load."""
 
 from collections.abc import Callable
 from collections.abc import Mapping
@@ -10,16 +10,16 @@
 
 __all__ = ["RetryBudget", "SharedRetryBudget"]
 
-# The part of the whole fleet's budget that is used at most: what the other
-# entries spent is known one heartbeat late.
-_SAFE_PART = 0.7
+# Maximum fraction of the fleet's budget that is used: the retries of the other
+# entries are known one heartbeat late.
+_USABLE_FRACTION = 0.7
 
 
 class RetryBudget:
-    """Lets retries be a bounded part of the requests.
+    """Bounds retries to a fraction of the requests.
 
     :param ratio: retries allowed for each request.
-    :param burst: retries allowed at once, after a quiet time.
+    :param burst: retries allowed at once after an idle period.
     """
 
     def __init__(
@@ -38,7 +38,7 @@
         self._tokens = min(self._burst, self._tokens + self._ratio)
 
     def try_spend(self) -> bool:
-        """Take one retry out of the budget, if there is one."""
+        """Spend one retry and return whether the budget allowed it."""
         if self._tokens < 1.0:
             self.denied += 1
             return False
@@ -48,15 +48,15 @@
 
 
 class SharedRetryBudget:
-    """Keeps the repeats of all entries together under one bound.
+    """Bounds the retries of all entries together.
 
-    In each window a service may get a part of its requests, and a fixed
-    number more, as repeats.  Each entry counts its own and hears of the
-    others' with their heartbeats.
+    In each window a service may get a fraction of its requests, plus a fixed
+    number, as retries.  Each entry counts its own retries and receives the
+    counts of the others in their heartbeats.
 
-    :param ratio: repeats allowed for each request.
-    :param slack: repeats allowed beyond that in a window.
-    :param window: seconds.
+    :param ratio: retries allowed for each request.
+    :param slack: retries allowed beyond that in a window.
+    :param window: length of the window in seconds.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
         self._ratio = ratio
         self._slack = slack
         self._requests = WindowCounts(window, read_time)
-        self._repeats = WindowCounts(window, read_time)
+        self._retries = WindowCounts(window, read_time)
         self._others: dict[str, Mapping[str, tuple[int, int]]] = {}
 
     def note_request(self, service: str) -> None:
@@ -78,35 +78,35 @@
         self._requests.note(service)
 
     def try_spend(self, service: str) -> bool:
-        """Take one repeat out of the budget, if there is one."""
-        requests, repeats = self._count(service)
+        """Spend one retry and return whether the budget allowed it."""
+        requests, retries = self._count(service)
         others = [
             counts.get(service, (0, 0)) for counts in self._others.values()
         ]
-        requests += sum(known[0] for known in others)
-        repeats += sum(known[1] for known in others)
-        bound = _SAFE_PART * (self._ratio * requests + self._slack)
-        if repeats >= bound:
+        requests += sum(counts[0] for counts in others)
+        retries += sum(counts[1] for counts in others)
+        bound = _USABLE_FRACTION * (self._ratio * requests + self._slack)
+        if retries >= bound:
             self.denied += 1
             return False
-        self._repeats.note(service)
+        self._retries.note(service)
         return True
 
     def list_counts(self) -> dict[str, tuple[int, int]]:
-        """Return each service's requests and repeats in the window."""
-        names = self._requests.list_names() | self._repeats.list_names()
+        """Return each service's requests and retries in the window."""
+        names = self._requests.list_names() | self._retries.list_names()
         return {name: self._count(name) for name in names}
 
     def take_others(
         self, entry: str, counts: Mapping[str, tuple[int, int]]
     ) -> None:
-        """Take what another entry counted."""
+        """Replace the counts that another entry reported."""
         self._others[entry] = counts
 
     def forget(self, entries: list[str]) -> None:
-        """Drop the counts of entries that are gone."""
+        """Discard the counts of entries that are unreachable."""
         for entry in entries:
             self._others.pop(entry, None)
 
     def _count(self, service: str) -> tuple[int, int]:
-        return self._requests.count(service), self._repeats.count(service)
+        return self._requests.count(service), self._retries.count(service)
--- a/magnoliacove/limits/runs.py
+++ b/magnoliacove/limits/runs.py
@@ -1,4 +1,4 @@
-"""Runs of requests that broke off as their targets ended."""
+"""Runs of requests that failed because their targets ended."""
 
 from dataclasses import dataclass
 
@@ -7,12 +7,12 @@
 
 @dataclass(frozen=True)
 class CrashedRun:
-    """A run that broke off because its target ended.
+    """A run that failed because its target ended.
 
-    :param fingerprint: names what was asked for.
-    :param attempt: names the caller's attempt.
-    :param target: the incarnation that ended.
-    :param seconds: how long the run had gone on since its first bytes.
+    :param fingerprint: identifies the content of the request.
+    :param attempt: identifies the caller's attempt.
+    :param target: the target's incarnation that ended.
+    :param seconds: duration of the run since its first bytes.
     """
 
     fingerprint: str
--- /dev/null
+++ b/magnoliacove/limits/unreported.py
@@ -0,0 +1,161 @@
+"""Estimates of requests that other entries send but have not yet reported.
+
+Loads are known from heartbeats, which become less frequent as the number of
+entries grows.  The requests that an entry sends after its last heartbeat are
+on the engines all the same, and as many again are sent before the other
+entries receive a report of a choice that is made now.  Their number follows
+from each entry's request rate and from the time since its last heartbeat.
+"""
+
+from collections.abc import Callable
+from collections.abc import Iterable
+from collections.abc import Mapping
+from dataclasses import dataclass
+import random
+
+import trio
+
+from magnoliacove.limits.windows import WindowCounts
+from magnoliacove.routing.paths import Ahead
+
+__all__ = ["UnreportedRequests"]
+
+# Seconds over which an entry's requests are counted: long enough to measure a
+# few requests per second, short enough to show a burst.
+_WINDOW = 2.0
+# Minimum seconds by which a count is divided: the first request of an entry
+# that has just started says little about the next one.
+_MIN_WINDOW = 1.0
+# Factor on the unreported requests that gives the range of positions: the
+# requests already sent, and as many that will be sent with the same state.
+_POSITIONS_FACTOR = 2.0
+# Requests per second; a lower sum is a rounding error of the differences.
+_MIN_RATE = 1e-3
+
+
+@dataclass(frozen=True)
+class _RateReport:
+    """An entry's requests per second for each service, and when received."""
+
+    rates: Mapping[str, float]
+    received_at: float
+
+
+@dataclass(frozen=True)
+class _Sum:
+    """Sums over all entries: rates, and rates times their receipt times."""
+
+    rate: float = 0.0
+    rate_by_time: float = 0.0
+
+    def add(self, rate: float, received_at: float) -> "_Sum":
+        return _Sum(self.rate + rate, self.rate_by_time + rate * received_at)
+
+
+class UnreportedRequests:
+    """Estimates the requests of other entries that no heartbeat reports yet.
+
+    An entry that has just started and reports no requests is assumed to have
+    as many as this one.  When all entries start together, callers wait for
+    them, and each entry gets several requests as soon as it can serve.  If
+    each assumed the others to be idle, all would send their requests along
+    the same path.
+
+    :param read_time: returns seconds.
+    """
+
+    def __init__(
+        self, read_time: Callable[[], float] = trio.current_time
+    ) -> None:
+        self._read_time = read_time
+        self._entries: dict[str, _RateReport] = {}
+        self._starting: set[str] = set()
+        self._sums: dict[str, _Sum] = {}
+        self._own = WindowCounts(_WINDOW, read_time)
+        self._started = read_time()
+
+    @property
+    def counted_for(self) -> float:
+        """The seconds over which this entry's requests are counted."""
+        return min(_WINDOW, self._read_time() - self._started)
+
+    def note_request(self, service: str) -> None:
+        """Count one request that came from a caller."""
+        self._own.note(service)
+
+    def list_counts(self) -> dict[str, int]:
+        """Return this entry's requests of each service in the window."""
+        return {name: self._own.count(name) for name in self._own.list_names()}
+
+    def read_pace(self, service: str, entry: str = "") -> float:
+        """Return the requests per second that an entry had for a service.
+
+        :param entry: another entry, or "" for this one.
+        """
+        if entry:
+            report = self._entries.get(entry)
+            return report.rates.get(service, 0.0) if report else 0.0
+        seconds = max(self.counted_for, _MIN_WINDOW)
+        return self._own.count(service) / seconds
+
+    def take_others(
+        self,
+        entry: str,
+        counts: Mapping[str, int],
+        seconds: float,
+    ) -> None:
+        """Replace the counts that another entry reported.
+
+        :param counts: requests of each service.
+        :param seconds: the time over which the entry counted them.
+        """
+        self._subtract(entry)
+        rates = {
+            service: requests / max(seconds, _MIN_WINDOW)
+            for service, requests in counts.items()
+        }
+        if seconds < _MIN_WINDOW and not any(counts.values()):
+            self._starting.add(entry)
+        report = _RateReport(rates, self._read_time())
+        self._entries[entry] = report
+        for service, rate in rates.items():
+            total = self._sums.get(service, _Sum())
+            self._sums[service] = total.add(rate, report.received_at)
+
+    def forget(self, entries: Iterable[str]) -> None:
+        """Discard the reports of entries that are unreachable."""
+        for entry in entries:
+            self._subtract(entry)
+
+    def sample_ahead(
+        self, service: str, rng: random.Random, displaced: int = 0
+    ) -> Ahead:
+        """Return how many unreported requests are assumed to go first.
+
+        The number is uniform between none and all.  So requests that are
+        routed by the same state assume different positions, and their choices
+        together come out as if they were made one after the other.
+
+        :param displaced: requests that their entries reroute now.
+        """
+        total = self._sums.get(service, _Sum())
+        unreported, seconds = 0.0, 0.0
+        if total.rate > _MIN_RATE:
+            unreported = self._read_time() * total.rate - total.rate_by_time
+            seconds = unreported / total.rate
+        own = self._own.count(service)
+        expected = (
+            _POSITIONS_FACTOR * max(0.0, unreported)
+            + len(self._starting) * own
+        )
+        expected += displaced
+        return Ahead(int(rng.uniform(0.0, expected + 1.0)), seconds)
+
+    def _subtract(self, entry: str) -> None:
+        self._starting.discard(entry)
+        previous = self._entries.pop(entry, None)
+        if previous is None:
+            return
+        for service, rate in previous.rates.items():
+            remaining = self._sums[service].add(-rate, previous.received_at)
+            self._sums[service] = remaining
--- a/magnoliacove/limits/windows.py
+++ b/magnoliacove/limits/windows.py
@@ -1,4 +1,4 @@
-"""Counting what happened within the last seconds, by name."""
+"""Counts of events in a sliding time window, by name."""
 
 from collections import deque
 from collections.abc import Callable
@@ -7,7 +7,7 @@
 
 
 class WindowCounts:
-    """How often something happened in a window that moves on.
+    """Counts of events in a sliding window.
 
     :param seconds: the length of the window.
     :param read_time: returns seconds.
@@ -19,11 +19,11 @@
         self._times: dict[str, deque[float]] = {}
 
     def note(self, name: str) -> None:
-        """Count one time, now."""
+        """Record one event of a name now."""
         self._times.setdefault(name, deque()).append(self._read_time())
 
     def count(self, name: str) -> int:
-        """Return how often a name was noted within the window."""
+        """Return the number of a name's events within the window."""
         start = self._read_time() - self._seconds
         times = self._times.get(name, deque())
         while times and times[0] < start:
@@ -31,5 +31,5 @@
         return len(times)
 
     def list_names(self) -> set[str]:
-        """Return every name that was ever noted."""
+        """Return every name that was ever recorded."""
         return set(self._times)
--- a/magnoliacove/peers/__init__.py
+++ b/magnoliacove/peers/__init__.py
@@ -1,4 +1,4 @@
-"""What gateways tell each other without the platform's store."""
+"""Direct exchange of state among gateways, without the platform's store."""
 
 from magnoliacove.peers.datagram import Heartbeat
 from magnoliacove.peers.datagram import ReportedCrash
--- a/magnoliacove/peers/datagram.py
+++ b/magnoliacove/peers/datagram.py
@@ -1,4 +1,4 @@
-"""A heartbeat among gateways, as one datagram."""
+"""The encoding of a gateway's heartbeat as one datagram."""
 
 from collections.abc import Mapping
 from collections.abc import Sequence
@@ -12,7 +12,7 @@
 from magnoliacove import errors
 from magnoliacove.directory.holdings import Holding
 from magnoliacove.directory.listed import LayerRange
-from magnoliacove.limits.backpressure import ToldLimit
+from magnoliacove.limits.backpressure import ReportedLimit
 from magnoliacove.limits.grants import Grant
 from magnoliacove.limits.load import TargetLoad
 from magnoliacove.limits.runs import CrashedRun
@@ -25,18 +25,19 @@
     "ReportedSuspicion",
 ]
 
-# The rate of a limit that ended.
-_ENDED = -1.0
-# Names of targets make up most of a heartbeat and repeat in it, so the
-# quickest level does.  One datagram is packed once for all peers.
-_COMPRESSION = 1
+# The encoded rate of a limit that has ended.
+_ENDED_RATE = -1.0
+# The zlib level.  Names of targets make up most of a heartbeat and repeat in
+# it, so the fastest level is sufficient.  A datagram is compressed once for
+# all peers.
+_COMPRESSION_LEVEL = 1
 
 
 @functools.cache
 def _load_schema() -> Any:
-    """Return the schema; it is loaded with the first heartbeat.
+    """Return the schema, loaded with the first heartbeat.
 
-    A process that starts answers its callers first.
+    So a starting process answers its callers before it loads the schema.
     """
     import capnp
 
@@ -46,7 +47,7 @@
 
 @dataclass(frozen=True)
 class ReportedHolding:
-    """What an engine reported to whoever has the placement duty.
+    """An engine's status, as reported to the placement leader.
 
     :param age: seconds since the report.
     """
@@ -60,7 +61,9 @@
 class ReportedSuspicion:
     """A target that a gateway suspects.
 
-    :param age: seconds since it began to.
+    :param age: seconds since the suspicion began.
+    :param why: the reason for the suspicion.
+    :param leaving: whether the target finishes its work but accepts no more.
     """
 
     target: str
@@ -74,7 +77,8 @@
     """A target that ended while a request ran there.
 
     :param age: seconds since it ended.
-    :param silent: it may have; it answers nothing since.
+    :param silent: whether the target is unresponsive, so that it is not known
+        whether it ended.
     """
 
     run: CrashedRun
@@ -84,10 +88,10 @@
 
 @dataclass(frozen=True)
 class ReportedQuarantine:
-    """A request that is kept away from targets.
+    """The quarantine of a request, or its early end.
 
-    :param age: seconds since its quarantine began or was ended early.
-    :param seconds: how long it lasts, 0 when it was ended early.
+    :param age: seconds since the quarantine began or was ended early.
+    :param seconds: duration of the quarantine, 0 when it was ended early.
     """
 
     fingerprint: str
@@ -99,23 +103,26 @@
 
 @dataclass(frozen=True)
 class Heartbeat:
-    """One gateway's news.
+    """The state that one gateway reports to its peers.
 
-    :param acting: whether it does the placement duty now.
-    :param services: requests and repeats in the present window.
-    :param recent: requests of each service that came lately.
-    :param counted_for: seconds over which these were counted; less after a
+    :param acting: whether the gateway acts as the placement leader now.
+    :param services: each service's requests and retries in the current
+        window.
+    :param recent: each service's recent requests.
+    :param counted_for: seconds over which `recent` is counted; fewer after a
         start.
-    :param peers: addresses of gateways that it knows.
-    :param newest_change: the store's revision of the newest change in the
-        list of targets that it knows.
-    :param store_era: how often the store came back from a copy, as far as it
-        knows.
-    :param crashes: targets that ended lately under its requests.
-    :param answered: how often it answered requests that were there.
-    :param quarantines: requests that are kept away, some of those it knows.
-    :param limits: what targets said to it of their limits.
-    :param grants: parts of the limits that it keeps, for all gateways.
+    :param peers: addresses of the gateways that it receives heartbeats from.
+    :param newest_change: the store's revision of the newest change that the
+        gateway has in its list of targets.
+    :param store_era: how often the store was restored from an older snapshot,
+        as far as the gateway has observed.
+    :param crashes: targets that recently ended while they ran its requests.
+    :param answered: by fingerprint, how often the gateway answered requests
+        that ran at crashes.
+    :param quarantines: a sample of the quarantines that the gateway has.
+    :param limits: limits that the gateway received from targets.
+    :param grants: grants of the limits that the gateway coordinates, for all
+        gateways.
     """
 
     name: str
@@ -140,7 +147,7 @@
     answered: Mapping[str, int] = field(default_factory=dict)
     quarantines: tuple[ReportedQuarantine, ...] = ()
     store_era: int = 0
-    limits: tuple[ToldLimit, ...] = ()
+    limits: tuple[ReportedLimit, ...] = ()
     grants: tuple[Grant, ...] = ()
 
     def encode(self) -> bytes:
@@ -158,9 +165,9 @@
             crossings=self.crossings,
             loads={
                 "targets": list(self.loads),
-                "requests": [one.requests for one in self.loads.values()],
+                "requests": [load.requests for load in self.loads.values()],
                 "tokenLayers": [
-                    int(one.token_layers) for one in self.loads.values()
+                    int(load.token_layers) for load in self.loads.values()
                 ],
             },
             suspicions=[
@@ -195,20 +202,21 @@
             limits=_write_limits(self.limits),
             grants=_write_grants(self.grants),
         ).to_bytes()
-        return zlib.compress(data, _COMPRESSION)
+        return zlib.compress(data, _COMPRESSION_LEVEL)
 
     @classmethod
     def decode(cls, data: bytes) -> "Heartbeat":
-        """Return the heartbeat of a datagram.
+        """Return the heartbeat that a datagram contains.
 
-        :raises magnoliacove.errors.ProtocolError: when it is none.
+        :raises magnoliacove.errors.ProtocolError: when the datagram cannot be
+            decoded.
         """
         import capnp
 
         schema = _load_schema()
         try:
-            plain = zlib.decompress(data)
-            with schema.Heartbeat.from_bytes(plain) as read:
+            message = zlib.decompress(data)
+            with schema.Heartbeat.from_bytes(message) as read:
                 return cls(
                     name=read.name,
                     address=read.address,
@@ -251,11 +259,11 @@
                     limits=_read_limits(read.limits),
                     grants=_read_grants(read.grants),
                 )
-        except (capnp.KjException, ValueError, zlib.error) as why:
+        except (capnp.KjException, ValueError, zlib.error) as exc:
             raise errors.ProtocolError(
-                f"a datagram is no heartbeat: {why}; check that all "
+                f"a datagram is not a valid heartbeat: {exc}; check that all "
                 "gateways run the same release"
-            ) from why
+            ) from exc
 
 
 def _read_fingerprint(item: Any) -> str:
@@ -303,20 +311,21 @@
     )
 
 
-def _write_limits(items: Sequence[ToldLimit]) -> dict[str, list[Any]]:
+def _write_limits(items: Sequence[ReportedLimit]) -> dict[str, list[Any]]:
     return {
         "targets": [item.target for item in items],
         "rates": [
-            item.rate if item.rate is not None else _ENDED for item in items
+            item.rate if item.rate is not None else _ENDED_RATE
+            for item in items
         ],
         "ages": [int(item.age * 1000) for item in items],
     }
 
 
-def _read_limits(read: Any) -> tuple[ToldLimit, ...]:
+def _read_limits(read: Any) -> tuple[ReportedLimit, ...]:
     columns = zip(read.targets, read.rates, read.ages, strict=True)
     return tuple(
-        ToldLimit(target, rate if rate >= 0.0 else None, age / 1000)
+        ReportedLimit(target, rate if rate >= 0.0 else None, age / 1000)
         for target, rate, age in columns
     )
 
@@ -343,17 +352,17 @@
 
 
 def _write_holdings(items: Sequence[ReportedHolding]) -> dict[str, list[Any]]:
-    held = [item.holding for item in items]
-    ranges = [one.layers or LayerRange(0, 0) for one in held]
+    holdings = [item.holding for item in items]
+    ranges = [holding.layers or LayerRange(0, 0) for holding in holdings]
     return {
         "targets": [item.target for item in items],
         "ages": [int(item.age * 1000) for item in items],
         "firsts": [layers.first for layers in ranges],
         "ends": [layers.end for layers in ranges],
-        "loading": [one.loading for one in held],
-        "slowness": [one.slowness for one in held],
-        "used": [int(one.used) for one in held],
-        "moving": [one.moving for one in held],
+        "loading": [holding.loading for holding in holdings],
+        "slowness": [holding.slowness for holding in holdings],
+        "used": [int(holding.used) for holding in holdings],
+        "moving": [holding.moving for holding in holdings],
     }
 
 
--- a/magnoliacove/peers/heartbeat.capnp
+++ b/magnoliacove/peers/heartbeat.capnp
@@ -1,5 +1,5 @@
-# What each gateway tells the others, one datagram at a time.  Ages and
-# lengths are milliseconds.
+# The heartbeat that each gateway sends to the others, one in each datagram.
+# Ages and durations are in milliseconds.
 @0xb1f4e06c9d7a5283;
 
 struct Heartbeat {
@@ -29,7 +29,8 @@
   grants @23 :Grants;
 }
 
-# A target that ended while a request ran there.
+# A target that ended while a request ran there.  With `silent`, the target
+# is unresponsive, and it is not known whether it ended.
 struct Crash {
   fingerprint @0 :UInt64;
   attempt @1 :UInt32;
@@ -44,7 +45,7 @@
   count @1 :UInt32;
 }
 
-# No seconds: it was ended early.
+# `seconds` is 0 for a quarantine that was ended early.
 struct Quarantine {
   fingerprint @0 :UInt64;
   round @1 :UInt32;
@@ -53,22 +54,22 @@
   crashes @4 :UInt32;
 }
 
-# One entry of each list belongs to one target.  Lists of plain values are
-# read several times as fast as a list of structures.
+# The lists are parallel: equal indexes belong to one target.  Lists of
+# primitive values are read several times as fast as a list of structures.
 struct Loads {
   targets @0 :List(Text);
   requests @1 :List(UInt32);
   tokenLayers @2 :List(UInt64);
 }
 
-# What targets said of their limits; a rate below 0 for one that ended.
+# Limits that targets reported; a negative rate marks a limit that has ended.
 struct Limits {
   targets @0 :List(Text);
   rates @1 :List(Float64);
   ages @2 :List(UInt32);
 }
 
-# Parts of limits for single gateways.
+# Shares of limits that are granted to single gateways.
 struct Grants {
   targets @0 :List(Text);
   gateways @1 :List(Text);
--- a/magnoliacove/peers/heartbeats.py
+++ b/magnoliacove/peers/heartbeats.py
@@ -1,8 +1,8 @@
-"""Heartbeats among gateways: who lives, what runs where, what is lost.
+"""Heartbeats among gateways, for failure detection and state exchange.
 
-Each gateway sends its own news to all others as datagrams.  A lost one
-matters little, since the next says all of it again; and unlike a
-connection, a datagram cannot fall silent for good.
+Each gateway sends its own state to all others as datagrams.  A lost datagram
+matters little, since the next one repeats the whole state; and unlike a
+connection, datagrams cannot stall permanently.
 """
 
 from collections.abc import Callable
@@ -20,45 +20,52 @@
 
 __all__ = ["Heartbeats", "Peer"]
 
-# Seconds between heartbeats, for few peers and for each further one; the
-# cost of a gateway's heartbeats stays the same as the fleet grows.
-_LEAST_INTERVAL = 0.15
+# Seconds between heartbeats: the minimum, and the part for each peer.  The
+# interval grows with the number of peers so that the cost per gateway stays
+# constant.
+_MIN_INTERVAL = 0.15
 _INTERVAL_PER_PEER = 0.012
-# The first one goes out so long after the start, in seconds: callers that
-# wait go before what it has to load.
-_FIRST_AFTER = 0.15
-# News that cannot wait is sent at once, but not more often than this.
-_LEAST_PAUSE = 0.03
-# A peer unheard for so many intervals is taken for gone, at least _GONE.
-_GONE_INTERVALS = 6
-_GONE = 1.2
-# A peer unheard for so long is no longer written to.
-_FORGOTTEN = 30.0
-_MOST_PEERS_NAMED = 64
-_MOST_DATAGRAM = 60_000
+# Seconds from the start to the first heartbeat: waiting callers are served
+# before the libraries that a heartbeat needs are loaded.
+_INITIAL_DELAY = 0.15
+# Minimum seconds between two heartbeats, also when an urgent update is sent at
+# once.
+_MIN_PAUSE = 0.03
+# A peer is unreachable after this many intervals without a heartbeat, and not
+# before this many seconds.
+_PEER_TIMEOUT_INTERVALS = 6
+_MIN_PEER_TIMEOUT = 1.2
+# Seconds without a heartbeat after which an address gets no more datagrams.
+_ADDRESS_TIMEOUT = 30.0
+# Maximum number of peers' addresses in one heartbeat.
+_MAX_PEERS_NAMED = 64
+# Maximum size of a datagram in bytes.
+_MAX_DATAGRAM = 60_000
 
 
 @functools.lru_cache(maxsize=1024)
 def _parse_address(text: str) -> Address:
-    """Return an address; the same ones are sent to and heard of each time."""
+    """Return an address; cached, since each heartbeat repeats the same."""
     return Address.parse(text)
 
 
 @dataclass
 class Peer:
-    """Another gateway, as last heard."""
+    """Another gateway: its latest heartbeat and when it was received."""
 
     heartbeat: Heartbeat
-    heard_at: float
+    received_at: float
 
 
 class Heartbeats:
-    """Sends this gateway's heartbeats and takes the others'.
-
-    :param make: returns this gateway's present heartbeat, told its
-        sequence and the peers' addresses.
-    :param take: called with each newer heartbeat.
-    :param lose: called with the names of peers that are gone.
+    """Sends this gateway's heartbeats and receives those of its peers.
+
+    :param seeds: addresses of gateways that always get heartbeats.
+    :param make: returns this gateway's current heartbeat, given its sequence
+        number and the peers' addresses.
+    :param take: called with each newer heartbeat of a peer.
+    :param on_unreachable: called with the names of peers that became
+        unreachable.
     """
 
     def __init__(
@@ -68,44 +75,44 @@
         recorder: Recorder,
         make: Callable[[int, tuple[str, ...]], Heartbeat],
         take: Callable[[Heartbeat], None],
-        lose: Callable[[list[str]], None],
+        on_unreachable: Callable[[list[str]], None],
     ) -> None:
         self.bytes_sent = 0
         self._address = address
         self._recorder = recorder
         self._make = make
         self._take = take
-        self._lose = lose
+        self._on_unreachable = on_unreachable
         self._peers: dict[str, Peer] = {}
-        # By address, as heartbeats name them.
-        self._heard: dict[str, float] = {}
+        # By address, when a heartbeat last came from it or it was added.
+        self._addresses: dict[str, float] = {}
         self._seeds = {str(seed) for seed in seeds if seed != address}
         self._sequence = 0
-        self._news = trio.Event()
+        self._send_requested = trio.Event()
         self._live: set[str] = set()
-        # Heard since the last line that told so.
-        self._untold: list[str] = []
+        # Names of live peers that are not yet in the log.
+        self._unlogged: list[str] = []
 
     def list_live(self) -> list[Peer]:
-        """Return the peers that were heard lately, by name."""
-        limit = trio.current_time() - self._gone_after
+        """Return the reachable peers, sorted by name."""
+        limit = trio.current_time() - self._peer_timeout
         return [
             self._peers[name]
             for name in sorted(self._peers)
-            if self._peers[name].heard_at >= limit
+            if self._peers[name].received_at >= limit
         ]
 
     def add_address(self, address: Address) -> None:
-        """Write to one more address from now on."""
+        """Send heartbeats to one more address from now on."""
         if address != self._address:
-            self._heard.setdefault(str(address), trio.current_time())
+            self._addresses.setdefault(str(address), trio.current_time())
 
     def send_soon(self) -> None:
         """Send the next heartbeat at once."""
-        self._news.set()
+        self._send_requested.set()
 
     async def run(self) -> None:
-        """Send and take heartbeats until cancelled."""
+        """Send and receive heartbeats until cancelled."""
         socket = trio.socket.socket(
             trio.socket.AF_INET, trio.socket.SOCK_DGRAM
         )
@@ -113,101 +120,102 @@
             await socket.bind((self._address.host, self._address.port))
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._receive, socket)
-                await trio.sleep(_FIRST_AFTER)
+                await trio.sleep(_INITIAL_DELAY)
                 while True:
                     await self._send(socket)
-                    await trio.sleep(_LEAST_PAUSE)
-                    with trio.move_on_after(self._interval - _LEAST_PAUSE):
-                        await self._news.wait()
+                    await trio.sleep(_MIN_PAUSE)
+                    with trio.move_on_after(self._interval - _MIN_PAUSE):
+                        await self._send_requested.wait()
 
     @property
     def _interval(self) -> float:
-        return max(_LEAST_INTERVAL, _INTERVAL_PER_PEER * len(self._heard))
+        return max(_MIN_INTERVAL, _INTERVAL_PER_PEER * len(self._addresses))
 
     @property
-    def _gone_after(self) -> float:
-        return max(_GONE, _GONE_INTERVALS * self._interval)
+    def _peer_timeout(self) -> float:
+        return max(_MIN_PEER_TIMEOUT, _PEER_TIMEOUT_INTERVALS * self._interval)
 
     async def _send(self, socket: trio.socket.SocketType) -> None:
-        self._news = trio.Event()
-        self._tell_heard()
-        self._notice_lost()
+        self._send_requested = trio.Event()
+        self._log_new_peers()
+        self._detect_unreachable()
         self._sequence += 1
-        # Only who was heard is named; else gateways would go on telling
-        # each other of one that is long gone.
-        named = tuple(peer.heartbeat.address for peer in self._draw_named())
+        # Only peers that were received recently are named; otherwise gateways
+        # would keep announcing an unreachable one to each other.
+        named = tuple(peer.heartbeat.address for peer in self._sample_named())
         data = self._make(self._sequence, named).encode()
-        if len(data) > _MOST_DATAGRAM:
+        if len(data) > _MAX_DATAGRAM:
             self._recorder.record(
                 "heartbeat-too-long",
                 why=f"{len(data)} bytes do not fit one datagram",
             )
             return
-        for text in {*self._heard, *self._seeds}:
+        for text in {*self._addresses, *self._seeds}:
             address = _parse_address(text)
             try:
                 await socket.sendto(data, (address.host, address.port))
                 self.bytes_sent += len(data)
             except OSError:
-                # An unreachable peer is noticed by its own silence.
+                # An unreachable peer is detected by its missing heartbeats.
                 continue
 
-    def _draw_named(self) -> list[Peer]:
+    def _sample_named(self) -> list[Peer]:
         """Return the peers that the next heartbeat names.
 
-        Where there are more than fit, others each time: with always the
-        same, the others would never learn of each other, and send their
-        callers to engines that are full.
+        When there are more than fit, they are a new random sample each time.
+        If they were always the same, the remaining peers would never discover
+        each other, and would send their callers to engines that are full.
         """
         live = self.list_live()
-        if len(live) <= _MOST_PEERS_NAMED:
+        if len(live) <= _MAX_PEERS_NAMED:
             return live
-        return random.sample(live, _MOST_PEERS_NAMED)
+        return random.sample(live, _MAX_PEERS_NAMED)
 
     async def _receive(self, socket: trio.socket.SocketType) -> None:
         while True:
             try:
                 data, _ = await socket.recvfrom(65536)
             except OSError:
-                # A peer's port was closed; its silence tells the rest.
+                # A peer's port is closed; missing heartbeats will mark the
+                # peer as unreachable.
                 continue
             try:
-                self._take_one(Heartbeat.decode(data))
-            except errors.Error as why:
-                self._recorder.record("heartbeat-unreadable", why=str(why))
+                self._handle(Heartbeat.decode(data))
+            except errors.Error as exc:
+                self._recorder.record("heartbeat-unreadable", why=str(exc))
 
-    def _take_one(self, heartbeat: Heartbeat) -> None:
+    def _handle(self, heartbeat: Heartbeat) -> None:
         now = trio.current_time()
-        known = self._peers.get(heartbeat.name)
+        peer = self._peers.get(heartbeat.name)
         rank = (heartbeat.incarnation, heartbeat.sequence)
-        if known is not None:
-            before = known.heartbeat
-            if rank <= (before.incarnation, before.sequence):
+        if peer is not None:
+            previous = peer.heartbeat
+            if rank <= (previous.incarnation, previous.sequence):
                 return
         self._peers[heartbeat.name] = Peer(heartbeat, now)
-        self._heard[str(_parse_address(heartbeat.address))] = now
-        for text in {*heartbeat.peers} - self._heard.keys():
+        self._addresses[str(_parse_address(heartbeat.address))] = now
+        for text in {*heartbeat.peers} - self._addresses.keys():
             self.add_address(_parse_address(text))
         if heartbeat.name not in self._live:
             self._live.add(heartbeat.name)
-            self._untold.append(heartbeat.name)
+            self._unlogged.append(heartbeat.name)
         self._take(heartbeat)
 
-    def _tell_heard(self) -> None:
-        """Write down which peers are new: all of them after a start."""
-        if self._untold:
-            self._recorder.record("peers-heard", targets=self._untold)
-            self._untold = []
+    def _log_new_peers(self) -> None:
+        """Log which peers are new; after a start these are all peers."""
+        if self._unlogged:
+            self._recorder.record("peers-heard", targets=self._unlogged)
+            self._unlogged = []
 
-    def _notice_lost(self) -> None:
+    def _detect_unreachable(self) -> None:
         live = {peer.heartbeat.name for peer in self.list_live()}
-        lost = sorted(self._live - live)
+        unreachable = sorted(self._live - live)
         self._live = live
-        for name in lost:
+        for name in unreachable:
             self._recorder.record("peer-silent", target=name)
-        if lost:
-            self._lose(lost)
-        limit = trio.current_time() - _FORGOTTEN
-        for text, heard_at in list(self._heard.items()):
-            if heard_at < limit:
-                del self._heard[text]
+        if unreachable:
+            self._on_unreachable(unreachable)
+        limit = trio.current_time() - _ADDRESS_TIMEOUT
+        for text, received_at in list(self._addresses.items()):
+            if received_at < limit:
+                del self._addresses[text]
--- a/magnoliacove/peers/snapshots.py
+++ b/magnoliacove/peers/snapshots.py
@@ -1,7 +1,7 @@
-"""Asking a peer for the configuration and the targets that it knows.
+"""Snapshots of a peer's configuration and list of targets.
 
-A gateway that starts, or goes on, while the platform's store does not
-answer it takes both from a peer that is better off.
+A gateway that starts or runs while the platform's store does not answer it
+requests both from a peer that has them.
 """
 
 from collections.abc import Callable
@@ -21,15 +21,16 @@
 
 __all__ = ["PeerSnapshot", "ask_snapshot", "serve_snapshots"]
 
+# Seconds to wait for a peer's snapshot.
 _ASK_TIMEOUT = 1.0
 _ROLE = "gateway"
 
 
 @dataclass(frozen=True)
 class PeerSnapshot:
-    """What a gateway knows.
+    """A gateway's configuration and list of targets.
 
-    :param configuration: the configuration as the store holds it, or b"".
+    :param configuration: the configuration in its stored form, or b"".
     :param revision: the store's revision of the list of targets.
     """
 
@@ -49,9 +50,10 @@
 
     @classmethod
     def decode(cls, data: bytes) -> "PeerSnapshot":
-        """Return the snapshot that JSON describes.
+        """Return the snapshot that JSON data encodes.
 
-        :raises magnoliacove.errors.ProtocolError: when it describes none.
+        :raises magnoliacove.errors.ProtocolError: when the data cannot be
+            decoded.
         """
         try:
             values = orjson.loads(data)
@@ -60,10 +62,10 @@
                 tuple(_read_target(item) for item in values["targets"]),
                 int(values["revision"]),
             )
-        except (ValueError, KeyError, TypeError) as why:
+        except (ValueError, KeyError, TypeError) as exc:
             raise errors.ProtocolError(
-                f"a peer's snapshot cannot be read: {why}"
-            ) from why
+                f"a peer's snapshot cannot be decoded: {exc}"
+            ) from exc
 
 
 def _read_target(values: dict[str, object]) -> ListedTarget:
@@ -91,7 +93,10 @@
     recorder: Recorder,
     make: Callable[[], PeerSnapshot],
 ) -> None:
-    """Answer peers that ask, until cancelled."""
+    """Serve snapshots to peers until cancelled.
+
+    :param make: returns the current snapshot.
+    """
 
     async def take(
         connection: wire.Connection, message: messages.Message
@@ -114,8 +119,11 @@
     recorder: Recorder,
     versions: Sequence[int] = (0,),
 ) -> PeerSnapshot | None:
-    """Ask one peer; return None when it gives no answer."""
-    found = await wire.ask(
+    """Request a peer's snapshot; return None without a readable answer.
+
+    :param versions: the first is sent as the known configuration version.
+    """
+    answer = await wire.ask(
         network,
         address,
         recorder.clock,
@@ -124,10 +132,10 @@
         messages.Snapshot,
         _ASK_TIMEOUT,
     )
-    if found is None:
+    if answer is None:
         return None
     try:
-        return PeerSnapshot.decode(found.data)
-    except errors.ProtocolError as why:
-        recorder.record("snapshot-unreadable", why=str(why))
+        return PeerSnapshot.decode(answer.data)
+    except errors.ProtocolError as exc:
+        recorder.record("snapshot-unreadable", why=str(exc))
         return None
--- a/magnoliacove/placement/duty.py
+++ b/magnoliacove/placement/duty.py
@@ -148,7 +148,7 @@
                     # A second failure in a row tells that it is lost.
                     pause = min(pause, _REPORT_TIMEOUT)
                 due = now - engine.asked_at >= pause
-                if due and sources.permits.try_call_for_duty(target.name):
+                if due and sources.permits.try_call_as_leader(target.name):
                     engine.asked_at = now
                     nursery.start_soon(self._ask, target, engine)
             if self._may_plan(service):
@@ -308,7 +308,7 @@
         leaving = self._sources.permits.is_leaving(target.name) or (
             suspicion is not None and suspicion.leaving
         )
-        askable = self._sources.permits.may_call_for_duty(target.name)
+        askable = self._sources.permits.may_call_as_leader(target.name)
         withheld = not askable and not engine.failures
         layers = engine.ordered
         if layers is None:
@@ -340,7 +340,7 @@
     async def _order(
         self, target: ListedTarget, engine: _Engine, item: PlacedLayers
     ) -> None:
-        if not self._sources.permits.try_call_for_duty(target.name):
+        if not self._sources.permits.try_call_as_leader(target.name):
             engine.forget_order()
             return
         report = engine.report
--- a/magnoliacove/routing/candidates.py
+++ b/magnoliacove/routing/candidates.py
@@ -15,7 +15,7 @@
 from magnoliacove.directory.targets import TargetList
 from magnoliacove.limits.load import LoadBook
 from magnoliacove.limits.permits import Permits
-from magnoliacove.limits.unheard import UnheardRequests
+from magnoliacove.limits.unreported import UnreportedRequests
 from magnoliacove.routing.paths import Ahead
 from magnoliacove.routing.paths import PathCosts
 from magnoliacove.routing.paths import StageOption
@@ -81,7 +81,7 @@
         health: Health,
         holdings: Holdings,
         loads: LoadBook,
-        unheard: UnheardRequests,
+        unheard: UnreportedRequests,
         permits: Permits,
         rng: random.Random,
     ) -> None:
@@ -162,7 +162,7 @@
             for target in self._targets.list_service(service)
             if self._is_lost(target.name)
         )
-        return self._unheard.draw(service, self._rng, displaced)
+        return self._unheard.sample_ahead(service, self._rng, displaced)
 
     def draw_displaced(self, lost: Collection[str]) -> Ahead:
         """Return requests of others to lead around lost engines before one.
--- a/measure/herd.py
+++ b/measure/herd.py
@@ -21,7 +21,7 @@
 import statistics
 
 from magnoliacove.limits import LoadBook
-from magnoliacove.limits import UnheardRequests
+from magnoliacove.limits import UnreportedRequests
 from magnoliacove.limits.load import Reservation
 from magnoliacove.placement.plan import EngineState
 from magnoliacove.routing.paths import Path
@@ -86,7 +86,7 @@
 
     name: str
     loads: LoadBook
-    unheard: UnheardRequests
+    unheard: UnreportedRequests
 
 
 @dataclass(eq=False)
@@ -109,7 +109,7 @@
         self.lost: set[str] = set()
         self.options = _place(fleet)
         self.gateways = [
-            Gateway(f"g-{n}", LoadBook(), UnheardRequests(lambda: self.now))
+            Gateway(f"g-{n}", LoadBook(), UnreportedRequests(lambda: self.now))
             for n in range(fleet.gateways)
         ]
 
@@ -167,7 +167,7 @@
 def choose_after_unheard(world: World, decider: Gateway) -> Path | None:
     """Place what is not heard of yet first."""
     displaced = world.count_displaced(decider.loads)
-    ahead = decider.unheard.draw(_SERVICE, world.rng, displaced)
+    ahead = decider.unheard.sample_ahead(_SERVICE, world.rng, displaced)
     options = world.read_options(decider.loads)
     return find_path(options, _COSTS, None, ahead)
 
--- a/measure/limits.py
+++ b/measure/limits.py
@@ -18,11 +18,11 @@
 from magnoliacove.directory.targets import TargetList
 from magnoliacove.gateway.limit_sharing import LimitSharing
 from magnoliacove.limits.backpressure import BackpressureBook
+from magnoliacove.limits.backpressure import ReportedLimit
 from magnoliacove.limits.backpressure import TargetNotice
-from magnoliacove.limits.backpressure import ToldLimit
 from magnoliacove.limits.grants import Grant
 from magnoliacove.limits.grants import GrantBook
-from magnoliacove.limits.unheard import UnheardRequests
+from magnoliacove.limits.unreported import UnreportedRequests
 from magnoliacove.routing.owners import choose_owner
 from magnoliacove.timeline import Recorder
 from magnoliacove.wire import Address
@@ -55,7 +55,7 @@
     name: str
     counted_for: float
     recent: dict[str, int]
-    limits: tuple[ToldLimit, ...]
+    limits: tuple[ReportedLimit, ...]
     grants: tuple[Grant, ...]
     leaving: bool = False
 
@@ -65,7 +65,7 @@
     """A heartbeat, and when it came."""
 
     heartbeat: News
-    heard_at: float
+    received_at: float
 
 
 @dataclass
@@ -98,7 +98,7 @@
         targets.apply(ListedTarget(ENGINE, _SERVICE, Address("x", 1), "a"))
         self.book = BackpressureBook(recorder, clock.read)
         self.grants = GrantBook(name, clock.read)
-        self.unheard = UnheardRequests(clock.read)
+        self.unheard = UnreportedRequests(clock.read)
         self.sharing = LimitSharing(
             name,
             targets,
@@ -120,7 +120,7 @@
         """Return the gateways that are heard."""
         gone = max(_GONE, _GONE_INTERVALS * self.interval)
         limit = self.clock.now - gone
-        return [one for one in self.heard.values() if one.heard_at >= limit]
+        return [one for one in self.heard.values() if one.received_at >= limit]
 
     def list_names(self) -> list[str]:
         """Return the gateways that are heard, and this one."""
--- a/tests/gateway/stubs.py
+++ b/tests/gateway/stubs.py
@@ -21,10 +21,10 @@
 from magnoliacove.gateway.relay import Relay
 from magnoliacove.gateway.stalls import StallWatch
 from magnoliacove.gateway.state import GatewayState
+from magnoliacove.limits import CapacityQueue
 from magnoliacove.limits import LoadBook
-from magnoliacove.limits import RoomQueue
 from magnoliacove.limits import SharedRetryBudget
-from magnoliacove.limits import UnheardRequests
+from magnoliacove.limits import UnreportedRequests
 from magnoliacove.limits.backpressure import BackpressureBook
 from magnoliacove.limits.crashes import CrashHistory
 from magnoliacove.limits.grants import GrantBook
@@ -189,7 +189,7 @@
         permits = Permits(backpressure, grants)
         hear = make_listener(backpressure, health)
         loads, pool = LoadBook(), ChannelPool(nursery.start_soon, hear)
-        unheard, rng = UnheardRequests(), random.Random(1)
+        unheard, rng = UnreportedRequests(), random.Random(1)
         self.state = GatewayState(
             "gateway",
             "a",
@@ -201,7 +201,7 @@
             loads,
             unheard,
             SharedRetryBudget(0.2, 100, 10.0),
-            RoomQueue(),
+            CapacityQueue(),
             pool,
             Candidates(
                 "a", targets, health, holdings, loads, unheard, permits, rng
--- a/tests/gateway/test_crashes.py
+++ b/tests/gateway/test_crashes.py
@@ -153,7 +153,9 @@
             stage.crashes.note_lost(["i-1"], routed, 0.1)
         await trio.sleep(0.2)
         known = stage.state.crashes
-        assert [known.was_at_end(f"{n:016x}") for n in range(3)] == [True] * 3
+        assert [known.has_recent_crash(f"{n:016x}") for n in range(3)] == [
+            True
+        ] * 3
 
 
 async def test_a_call_that_ends_targets_is_refused():
--- a/tests/limits/test_room.py
+++ b/tests/limits/test_capacity.py
@@ -1,13 +1,13 @@
-"""Waiting for room: who goes first, who is refused, and when."""
+"""The capacity queue: order, refusals and cost; loads and shared budgets."""
 
 import pytest
 import trio
 
 from magnoliacove import errors
+from magnoliacove.limits.capacity import CapacityQueue
 from magnoliacove.limits.load import LoadBook
 from magnoliacove.limits.load import TargetLoad
 from magnoliacove.limits.retries import SharedRetryBudget
-from magnoliacove.limits.room import RoomQueue
 from magnoliacove.routing.paths import Path
 from magnoliacove.routing.paths import PathStage
 from magnoliacove.wire import Address
@@ -22,15 +22,15 @@
 )
 
 
-class _Places:
-    """A number of places, taken one at a time."""
+class _Slots:
+    """A number of slots, taken one at a time."""
 
     def __init__(self, free):
         self.free = free
         self.order = []
 
     def take(self, name):
-        """Return a function that takes a place for a name."""
+        """Return a function that takes a slot for a name."""
 
         def find():
             if not self.free:
@@ -43,18 +43,19 @@
 
 
 async def test_fresh_and_urgent_requests_go_first(autojump_clock):
-    """No place is free.  Three requests wait: one that is late already,
-    one of low priority, one of high.  Places come one by one: the one that
-    can still be in time goes first, by priority; the late one last.
+    """No slot is free.  Three requests wait: one that is already late, one of
+    low priority and one of high priority.  Slots become free one by one:
+    requests that can still be in time go first, by priority, and the late one
+    goes last.
     """
-    places, queue = _Places(0), RoomQueue()
+    slots, queue = _Slots(0), CapacityQueue()
 
     async def wait(name, priority, fresh):
         await queue.wait_path(
-            places.take(name),
+            slots.take(name),
             priority=priority,
             fresh_until=trio.current_time() + fresh,
-            patience=5.0,
+            timeout=5.0,
         )
 
     async with trio.open_nursery() as nursery:
@@ -63,21 +64,21 @@
             nursery.start_soon(wait, *task)
             await trio.sleep(0.1)
         for _ in range(3):
-            places.free += 1
+            slots.free += 1
             queue.fill()
             await trio.sleep(0.1)
         nursery.cancel_scope.cancel()
-    assert places.order == ["high", "low", "late"]
+    assert slots.order == ["high", "low", "late"]
 
 
-async def test_no_room_in_time_is_told_with_a_time_to_return(
+async def test_a_request_without_capacity_is_refused_with_a_retry_after(
     autojump_clock,
 ):
-    queue = RoomQueue()
+    queue = CapacityQueue()
     began = trio.current_time()
     with pytest.raises(errors.RequestError) as caught:
         await queue.wait_path(
-            lambda: None, priority=1, fresh_until=0.0, patience=0.7
+            lambda: None, priority=1, fresh_until=0.0, timeout=0.7
         )
     assert trio.current_time() - began == pytest.approx(0.7, abs=0.05)
     assert caught.value.outcome is errors.Outcome.NOT_RUN
@@ -85,24 +86,25 @@
     assert queue.waiting == 0
 
 
-async def test_a_queue_that_is_full_refuses_at_once(autojump_clock):
-    queue = RoomQueue(most_waiting=0)
+async def test_a_full_queue_refuses_at_once(autojump_clock):
+    queue = CapacityQueue(max_waiting=0)
     began = trio.current_time()
     with pytest.raises(errors.RequestError):
         await queue.wait_path(
-            lambda: None, priority=1, fresh_until=0.0, patience=5.0
+            lambda: None, priority=1, fresh_until=0.0, timeout=5.0
         )
     assert trio.current_time() == began
 
 
 async def test_many_changes_cost_few_tries(autojump_clock):
-    """Forty requests wait, and releases and heartbeats come by hundreds.
+    """Forty requests wait while hundreds of releases and heartbeats arrive.
 
-    Each try is a search over the engines.  One try for each change and
-    each waiter used up the processor, and callers' leaving went unseen.
+    Each try is a search over the engines.  One try for each change and each
+    waiting request used up the processor and delayed the detection of callers
+    that disconnect.
     """
     tries = 0
-    queue = RoomQueue()
+    queue = CapacityQueue()
 
     def find():
         nonlocal tries
@@ -111,7 +113,7 @@
     async def wait():
         with pytest.raises(errors.RequestError):
             await queue.wait_path(
-                find, priority=1, fresh_until=0.0, patience=1.0
+                find, priority=1, fresh_until=0.0, timeout=1.0
             )
 
     async with trio.open_nursery() as nursery:
@@ -125,7 +127,7 @@
     assert tries <= 8 * 1.0 / 0.025 + 41
 
 
-def test_load_is_own_and_others():
+def test_load_is_the_sum_of_own_and_reported_load():
     book = LoadBook()
     first = book.reserve_path(_PATH, 100.0)
     assert book.read("i-1") == TargetLoad(1, 3000.0)
@@ -139,9 +141,9 @@
     assert not book.list_own()
 
 
-def test_repeats_of_all_entries_share_one_bound():
-    """Three entries see the same failure and each would repeat.  What the
-    others spent counts, so together they stay below the bound.
+def test_retries_of_all_entries_share_one_bound():
+    """Three entries observe the same failure, and each would retry.  The
+    retries of the others count, so together they stay below the bound.
     """
     budgets = [SharedRetryBudget(0.2, 20, 10.0, lambda: 0.0) for _ in "abc"]
     for _ in range(30):
@@ -157,7 +159,7 @@
     assert 0.5 * (0.2 * 90 + 20) < spent <= 0.2 * 90 + 20
 
 
-def test_the_window_of_repeats_moves_on():
+def test_retries_leave_the_window():
     now = 0.0
     budget = SharedRetryBudget(0.0, 10, 10.0, lambda: now)
     assert [budget.try_spend("llm") for _ in range(8)].count(True) == 7
--- a/tests/limits/test_crashes.py
+++ b/tests/limits/test_crashes.py
@@ -1,4 +1,4 @@
-"""Which request ended the targets, and which merely ran there."""
+"""Detection of the request that crashes targets among those that ran there."""
 
 import random
 
@@ -19,14 +19,14 @@
 
 
 class _Case:
-    """A history, and ends of targets in short words."""
+    """A crash history with short methods to fill and query it."""
 
     def __init__(self):
         self.clock = _Clock()
         self.history = CrashHistory(self.clock.read)
 
     def crash(self, target, *runs, seconds=0.1, own=True):
-        """Let a target end under runs, each a request and an attempt."""
+        """Record a target's crash during runs, each (request, attempt)."""
         for fingerprint, attempt in runs:
             run = CrashedRun(fingerprint, attempt, target, seconds)
             self.history.note_crash(run, own=own)
@@ -36,7 +36,7 @@
         return self.history.find_causes(known)
 
 
-def test_a_request_at_three_ends_in_several_attempts_is_the_cause():
+def test_three_crashes_in_several_attempts_make_a_cause():
     case = _Case()
     case.crash("i-1", ("bad", 1), ("a", 10))
     case.crash("i-2", ("bad", 1), ("b", 11))
@@ -46,9 +46,10 @@
     assert case.find("bad") == {}
 
 
-def test_one_attempt_alone_says_little():
-    """A stream loses its engine, goes on at the next one together with the
-    cause, and so on.  It was at four ends and is not the cause of any.
+def test_a_single_attempt_is_not_a_cause():
+    """A stream whose engine crashes is moved to the next engine together with
+    the cause, again and again.  It runs at four crashes without being the
+    cause of any.
     """
     case = _Case()
     for number in range(4):
@@ -56,7 +57,7 @@
     assert case.find() == {}
 
 
-def test_two_that_were_at_the_same_ends_are_told_apart_by_the_next_one():
+def test_the_next_crash_distinguishes_two_candidates():
     case = _Case()
     for number in range(3):
         both = ("bad", number), ("beside", number)
@@ -66,9 +67,9 @@
     assert case.find() == {"bad": 4}
 
 
-def test_who_was_at_ends_that_are_explained_is_not_a_cause():
-    """A request was at three of the five ends of another one: each of its
-    ends has a cause already.
+def test_explained_crashes_do_not_count_against_others():
+    """A request ran at three of the five crashes of another one, so each of
+    its crashes already has a cause.
     """
     case = _Case()
     for number in range(5):
@@ -87,9 +88,9 @@
     assert set(case.find()) == {"bad", "worse"}
 
 
-def test_a_request_that_is_answered_needs_more_ends():
-    """A harmless request comes often, so it is at many ends; each answer
-    that any gateway gave it speaks for it.
+def test_each_answer_raises_the_number_of_crashes_needed():
+    """A harmless request that arrives often runs at many crashes.  Each answer
+    that any gateway gave counts in its favour.
     """
     case = _Case()
     case.history.note_answered("often")
@@ -101,9 +102,9 @@
     assert case.find() == {"often": 9}
 
 
-def test_an_answer_speaks_for_a_request_for_a_while():
-    """A request was answered for hours.  Then the targets got other weights,
-    and it ends each of them.
+def test_answers_expire():
+    """A request was answered for hours.  Then the targets load other weights,
+    and the request crashes each of them.
     """
     case = _Case()
     for _ in range(100):
@@ -115,9 +116,9 @@
     assert case.history.list_answered() == {}
 
 
-def test_a_run_that_went_on_for_longer_speaks_for_its_request():
-    """A long stream is at three ends, at the first after five seconds: what
-    it asks for does not end a target within a tenth of a second.
+def test_a_long_run_shows_that_a_request_is_harmless():
+    """A long stream runs at four crashes, at the first after five seconds, so
+    it does not crash a target within a tenth of a second.
     """
     case = _Case()
     case.crash("i-0", ("long", 1), seconds=5.0)
@@ -132,7 +133,7 @@
     assert quiet.find() == {}
 
 
-def test_a_suspected_request_is_not_repeated():
+def test_a_request_is_suspected_after_several_attempts():
     case = _Case()
     case.crash("i-1", ("bad", 1))
     case.crash("i-2", ("bad", 1))
@@ -143,23 +144,23 @@
     assert not case.history.is_suspected("bad")
 
 
-def test_ends_that_are_settled_count_no_more():
-    """A request was kept away wrongly and then answered.  Peers still tell of
-    the same ends for a while, and those begin nothing again.
+def test_cleared_crashes_no_longer_count():
+    """A request was quarantined wrongly and then answered.  Peers report the
+    same crashes for a while, which must not begin another quarantine.
     """
     case = _Case()
     ends = [CrashedRun("good", n, f"i-{n}", 0.1) for n in range(3)]
     for run in ends:
         case.history.note_crash(run)
     assert case.find() == {"good": 3}
-    case.history.settle("good")
+    case.history.clear_crashes("good")
     for run in ends:
         assert not case.history.note_crash(run, own=False)
     assert case.find() == {}
-    assert not case.history.was_at_end("good")
+    assert not case.history.has_recent_crash("good")
 
 
-def test_ends_are_forgotten():
+def test_crashes_expire():
     case = _Case()
     for number in range(3):
         case.crash(f"i-{number}", ("bad", number))
@@ -170,8 +171,8 @@
     assert not case.history.note_crash(run, age=600.0)
 
 
-def test_what_is_kept_and_told_is_bounded():
-    """Callers ask for ever new things while targets end."""
+def test_memory_and_reports_are_bounded():
+    """Callers send ever new requests while targets crash."""
     case = _Case()
     for number in range(5000):
         case.history.note_answered(f"f{number}")
@@ -207,9 +208,9 @@
     strategies.permutations(_ENDS * 2),
     strategies.integers(0, 2**14 - 1),
 )
-def test_the_order_of_news_and_doubles_do_not_matter(ends, lost):
-    """Heartbeats are lost, doubled and late.  Whoever has heard of all ends
-    once finds the same, and whoever lacks some finds no other request.
+def test_order_and_duplicates_of_reports_do_not_matter(ends, lost):
+    """Heartbeats are lost, duplicated and late.  Gateways that have received
+    all crashes find the same cause, and one that lacks some finds no other.
     """
     whole, part = _Case(), _Case()
     for place, run in enumerate(ends):
@@ -222,21 +223,21 @@
 
 @pytest.mark.parametrize("pause", [0.3, 1.0, 4.0])
 @pytest.mark.parametrize("seed", range(20))
-def test_who_travels_with_the_cause_goes_on_being_served(seed, pause):
-    """Forty streams run at an engine when it ends, and most go on together
-    at the next one, with the request that ended it: it ends as well.
-
-    New streams come all the time, some that broke off are asked for again,
-    and one harmless request comes more often than the cause.  Only the cause
-    is found, before it ended more than three targets that it could have been
-    kept from.
+def test_streams_that_move_with_the_cause_are_not_causes(seed, pause):
+    """Forty streams run at an engine when it crashes.  Most are moved to the
+    next engine together with the cause, which crashes that one as well.
+
+    New streams arrive all the time, some failed ones are retried, and one
+    harmless request arrives more often than the cause.  Only the cause is
+    found, before it crashes more than three targets beyond those that are
+    needed to detect it.
     """
     rng, case = random.Random(seed), _Case()
     attempts = iter(range(1000, 100_000))
     streams = [(f"s{n}", n, rng.uniform(0.0, 6.0)) for n in range(40)]
     ended_at = []
     while not case.find():
-        here = [one for one in streams if rng.random() < 0.7]
+        here = [stream for stream in streams if rng.random() < 0.7]
         here += [("bad", len(ended_at) // 2, 0.0)]
         here += [("often", next(attempts), 0.3) for _ in range(3)]
         for fingerprint, attempt, age in here:
--- a/tests/limits/test_gaps.py
+++ b/tests/limits/test_gaps.py
@@ -1,11 +1,11 @@
-"""A model without a whole path: who waits for it, and who is told at once."""
+"""Gaps in a model's layers: their estimates, and who waits or is refused."""
 
 import pytest
 import trio
 
 from magnoliacove import errors
-from magnoliacove.limits.gaps import GapClock
-from magnoliacove.limits.room import RoomQueue
+from magnoliacove.limits.capacity import CapacityQueue
+from magnoliacove.limits.gaps import GapEstimator
 
 
 class _Time:
@@ -18,50 +18,50 @@
 
 def test_a_gap_is_expected_to_last_as_long_as_those_before():
     time = _Time()
-    gaps = GapClock(time)
-    assert gaps.read_left() == 0.0
+    gaps = GapEstimator(time)
+    assert gaps.estimate_remaining() == 0.0
     gaps.note(False)
-    assert gaps.read_left() == 2.0
+    assert gaps.estimate_remaining() == 2.0
     time.now += 1.5
-    assert gaps.read_left() == pytest.approx(0.5)
+    assert gaps.estimate_remaining() == pytest.approx(0.5)
     time.now += 3.0
-    assert gaps.read_left() == pytest.approx(0.3)
+    assert gaps.estimate_remaining() == pytest.approx(0.3)
 
 
-def test_a_gap_that_is_met_to_its_end_is_learned():
+def test_an_observed_gap_updates_the_estimate():
     time = _Time()
-    gaps = GapClock(time)
+    gaps = GapEstimator(time)
     for _ in range(45):
         gaps.note(False)
         time.now += 0.1
     gaps.note(True)
-    assert gaps.read_left() == 0.0
+    assert gaps.estimate_remaining() == 0.0
     assert gaps.usual == pytest.approx(2.75)
 
 
 @pytest.mark.parametrize("whole", [True, False])
-def test_a_gap_that_ended_unseen_is_not_taken_for_a_long_one(whole):
-    """One request meets a short gap, the next one comes after a quiet hour.
-    Taken for a gap of an hour, all requests of the next gap would be
-    refused at once, though a path is there again in two seconds.
+def test_a_gap_whose_end_is_not_observed_does_not_count_as_long(whole):
+    """One request observes a short gap, and the next one arrives an hour
+    later.  If that counted as a gap of an hour, all requests of the next gap
+    would be refused at once, though a path exists again in two seconds.
     """
     time = _Time()
-    gaps = GapClock(time)
+    gaps = GapEstimator(time)
     gaps.note(False)
     time.now += 3600.0
     gaps.note(whole)
     assert gaps.usual < 2.0
-    assert gaps.read_left() == (0.0 if whole else gaps.usual)
+    assert gaps.estimate_remaining() == (0.0 if whole else gaps.usual)
 
 
-async def test_what_cannot_be_served_in_time_is_refused_at_once(
+async def test_requests_that_a_gap_outlasts_are_refused_at_once(
     autojump_clock,
 ):
-    """No engine holds a layer, and placing it takes two seconds.  Requests
-    were held for 1.5 s and refused then; now the caller is told at once
-    when to come back.  One whose patience outlasts the gap waits.
+    """A layer is loaded on no engine, and placing it takes two seconds.  A
+    request with a timeout of 1.5 s must not wait until it times out, but is
+    refused at once with a `Retry-After`.  One with a longer timeout waits.
     """
-    queue, gaps = RoomQueue(), GapClock()
+    queue, gaps = CapacityQueue(), GapEstimator()
     gaps.note(False)
     began = trio.current_time()
     with pytest.raises(errors.RequestError) as caught:
@@ -69,8 +69,8 @@
             lambda: None,
             priority=1,
             fresh_until=began + 0.5,
-            patience=1.5,
-            read_delay=gaps.read_left,
+            timeout=1.5,
+            read_delay=gaps.estimate_remaining,
         )
     assert trio.current_time() == began
     assert caught.value.status == 503
@@ -80,7 +80,7 @@
             lambda: None,
             priority=1,
             fresh_until=began + 0.5,
-            patience=2.5,
-            read_delay=gaps.read_left,
+            timeout=2.5,
+            read_delay=gaps.estimate_remaining,
         )
     assert trio.current_time() == pytest.approx(began + 2.5)
--- a/tests/limits/test_grants.py
+++ b/tests/limits/test_grants.py
@@ -1,4 +1,4 @@
-"""Parts of a target's limit, and what a gateway may send by its own."""
+"""Grants of a target's limit, and the requests that they permit."""
 
 import math
 
@@ -33,9 +33,9 @@
 
 
 @given(paces=_PACES, limit=strategies.floats(0.0, 1e5))
-def test_the_parts_make_up_the_limit_and_are_few(paces, limit):
-    """Each part saves up one request, so with one for each of many gateways
-    all could send at the same moment.
+def test_grants_add_up_to_the_limit_and_are_few(paces, limit):
+    """Each grant accumulates one request, so with a grant for each of many
+    gateways all of them could send at the same moment.
     """
     made = divide_limit("i-1", limit, paces)
     assert math.isclose(
@@ -45,9 +45,9 @@
     assert len(made) <= limit + 2
 
 
-def test_parts_stay_with_their_gateways():
-    """Requests come and go by a third; parts that moved with them would be
-    lost with what was saved up, and the target left without its requests.
+def test_grants_stay_with_their_gateways():
+    """Request rates change by a third.  If grants moved with them, the
+    accumulated requests would be lost, and the target would be under-used.
     """
     paces = {f"g-{n}": 10.0 + n % 3 for n in range(12)}
     before = {grant.gateway for grant in divide_limit("i-1", 1.2, paces)}
@@ -57,7 +57,7 @@
         assert {grant.gateway for grant in made} == before
 
 
-def test_what_is_saved_up_is_one_request_and_gone_with_the_part():
+def test_one_request_accumulates_and_is_lost_with_the_grant():
     clock = _Clock()
     book = GrantBook("g-1", clock.read)
     book.take("g-2", [Grant("i-1", "g-1", 0.5), Grant("i-1", "g-3", 0.5)])
@@ -78,14 +78,15 @@
     assert not book.may_send("i-1")
 
 
-def test_what_is_saved_up_outlasts_a_change_of_keepers():
-    """A keeper is killed, and for a moment nobody grants anything.  Begun
-    anew with each, parts of 0.4 a second would hardly ever be used.
+def test_accumulated_requests_outlast_a_change_of_coordinator():
+    """A coordinator is killed, and for a moment no gateway grants anything.
+    If accumulation started again with each coordinator, grants of 0.4 requests
+    per second would hardly ever be used.
     """
     clock = _Clock()
     book = GrantBook("g-1", clock.read)
-    for keeper in ("g-2", "g-3"):
-        book.take(keeper, [Grant("i-1", "g-1", 0.5)])
+    for coordinator in ("g-2", "g-3"):
+        book.take(coordinator, [Grant("i-1", "g-1", 0.5)])
     book.renew({"i-1": "g-2"})
     clock.now += 2.1
     book.renew({"i-1": "g-9"})
@@ -96,7 +97,7 @@
     assert book.read_rate("i-1") == 0.5
 
 
-def test_a_lost_keeper_s_parts_are_gone():
+def test_grants_of_an_unreachable_coordinator_are_discarded():
     clock = _Clock()
     book = GrantBook("g-1", clock.read)
     book.take("g-2", [Grant("i-1", "g-1", 1.0)])
@@ -115,24 +116,26 @@
     return Permits(book, grants, clock.read), book, grants, clock
 
 
-def test_questions_of_our_own_use_up_the_limit_too():
-    """Reports were asked for twice a second of an engine that had named 1.1
-    requests a second for all: eight of the 12 that it allows in 4 s.
+def test_own_queries_count_against_the_limit():
+    """An engine with a limit of 1.1 requests per second for all gateways was
+    queried for reports twice a second: eight of the 12 requests that it
+    allows in 4 s.
     """
     permits, book, _, clock = _make_permits()
     book.take("i-1", TargetNotice(rate_limit=1.2), "a request")
     asked = 0
     for _ in range(400):
         clock.now += 0.1
-        asked += permits.try_call_for_duty("i-1")
+        asked += permits.try_call_as_leader("i-1")
     assert asked == pytest.approx(40 * 1.2 / 4, abs=1)
     assert not permits.try_call("i-1")
     assert permits.try_call("i-2")
 
 
-def test_what_passes_beyond_a_limit_leaves_its_requests_alone():
-    """Streams that only an engine with a limit can go on with pass through
-    it.  Counted as its requests, they would use up those of minutes to come.
+def test_requests_beyond_a_limit_do_not_spend_its_grant():
+    """Streams that only a limited engine can continue are sent there beyond
+    its limit.  If they spent the grant, they would use up the requests of the
+    next minutes.
     """
     permits, book, grants, clock = _make_permits()
     book.take("i-1", TargetNotice(rate_limit=1.0), "a request")
@@ -144,13 +147,13 @@
     assert permits.may_send("i-1")
 
 
-def test_a_rest_holds_for_requests_and_questions_alike():
+def test_a_backoff_applies_to_requests_and_own_queries():
     permits, book, _, clock = _make_permits()
     book.take("i-1", TargetNotice(rest=3.0), "a request")
     for allowed in (False, True):
         assert permits.may_send("i-1") is allowed
         assert permits.try_call("i-1") is allowed
-        assert permits.try_call_for_duty("i-1") is allowed
+        assert permits.try_call_as_leader("i-1") is allowed
         clock.now += 3.1
 
 
@@ -159,9 +162,9 @@
 )
 @pytest.mark.parametrize("count", [4, 12, 68])
 def test_a_limit_holds_over_all_gateways_and_is_used(count, trouble):
-    """An engine named a limit for all gateways, and each went on as before.
-    Gateways are killed, cut off and start; none may count on another one, and
-    the engine gets about what it takes all the same.
+    """An engine announces a limit for all gateways together.  Gateways are
+    killed, disconnected and started, so none can rely on another one; the
+    limit must hold, and the engine must still get about what it accepts.
     """
     play = limits.Play(limits.use_grants, count, **trouble)
     result = play.run(20.0)
@@ -193,6 +196,6 @@
 
 
 def test_a_limit_holds_over_hundreds_of_gateways():
-    """Their heartbeats are seconds apart, and parts are handed out by them."""
+    """Their heartbeats, which carry the grants, are seconds apart."""
     play = limits.Play(limits.use_grants, 330, demand=1.0, kill_every=1.0)
     assert play.run(10.0).excess <= 0.0
--- a/tests/limits/test_limits.py
+++ b/tests/limits/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits: fair, work-conserving, bounded in time, truthful."""
+"""Admission, rate limits and retry budgets: fair, work-conserving, bounded."""
 
 import pytest
 import trio
@@ -7,7 +7,9 @@
 from magnoliacove import limits
 
 
-async def _hold(admission, log, account, weight=1.0, priority=0, seconds=1.0):
+async def _run_request(
+    admission, log, account, weight=1.0, priority=0, seconds=1.0
+):
     async with admission.admit(account, weight, priority, 1000.0):
         log.append(account)
         await trio.sleep(seconds)
@@ -20,14 +22,14 @@
         for account, count, weight, priority in demands:
             for _ in range(count):
                 nursery.start_soon(
-                    _hold, admission, log, account, weight, priority
+                    _run_request, admission, log, account, weight, priority
                 )
                 await trio.sleep(0.001)
     return log
 
 
 async def test_small_account_is_not_crowded_out(autojump_clock):
-    """A large account queues a hundred requests before a small one's ten."""
+    """A large account queues 100 requests before a small one queues ten."""
     admission = limits.Admission(lambda: 2)
     log = await _run_all(
         admission, [("large", 100, 1.0, 0), ("small", 10, 1.0, 0)]
@@ -36,7 +38,7 @@
     assert last_small < 25
 
 
-async def test_weights_share_the_room(autojump_clock):
+async def test_capacity_is_shared_by_weight(autojump_clock):
     admission = limits.Admission(lambda: 4)
     log = await _run_all(
         admission, [("heavy", 90, 3.0, 0), ("light", 90, 1.0, 0)]
@@ -53,16 +55,16 @@
     assert log[1:4] == ["bid"] * 3
 
 
-async def test_idle_room_is_used(autojump_clock):
-    """One account alone may use all the room there is."""
+async def test_idle_capacity_is_used(autojump_clock):
+    """A single account may use the whole capacity."""
     admission = limits.Admission(lambda: 10)
     began = trio.current_time()
     await _run_all(admission, [("only", 50, 1.0, 0)])
     assert trio.current_time() - began < 6
 
 
-async def test_refusal_is_early_and_says_when(autojump_clock):
-    """What cannot get its turn in time is refused at once, not held."""
+async def test_refusal_is_early_and_has_a_retry_after(autojump_clock):
+    """A request that cannot run in time is refused at once, not queued."""
     admission = limits.Admission(lambda: 1)
     refusals = []
 
@@ -71,35 +73,36 @@
         try:
             async with admission.admit("a", 1.0, 0, 5.0):
                 await trio.sleep(1.0)
-        except errors.RequestError as why:
-            refusals.append((why, trio.current_time() - began))
+        except errors.RequestError as exc:
+            refusals.append((exc, trio.current_time() - began))
 
     async with trio.open_nursery() as nursery:
         for _ in range(20):
             nursery.start_soon(ask)
     assert refusals
-    for why, waited in refusals:
+    for exc, waited in refusals:
         assert waited < 0.1
-        assert (why.status, why.outcome) == (429, errors.Outcome.NOT_RUN)
-        assert why.retry_after >= 1
+        assert (exc.status, exc.outcome) == (429, errors.Outcome.NOT_RUN)
+        assert exc.retry_after >= 1
     assert admission.running == admission.waiting == 0
 
 
 async def test_queued_request_is_refused_as_soon_as_it_is_late(
     autojump_clock,
 ):
-    """Requests turn out ten times longer than those before them.
+    """Requests take ten times longer than those before them.
 
-    What queued on the old expectation is refused when the new one shows,
-    well before its deadline, so that its caller can go elsewhere.
+    Requests that were queued with the old estimate are refused as soon as the
+    estimate changes, well before their deadline, so that their callers can
+    try elsewhere.
     """
     admission = limits.Admission(lambda: 1)
     waits = []
 
-    async def ask(seconds, patience):
+    async def ask(seconds, timeout):
         began = trio.current_time()
         try:
-            async with admission.admit("a", 1.0, 0, patience):
+            async with admission.admit("a", 1.0, 0, timeout):
                 await trio.sleep(seconds)
         except errors.RequestError:
             waits.append(trio.current_time() - began)
@@ -115,11 +118,11 @@
     admission = limits.Admission(lambda: 1)
     log = []
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(_hold, admission, log, "first")
+        nursery.start_soon(_run_request, admission, log, "first")
         await trio.sleep(0.1)
         with trio.move_on_after(0.2):
-            await _hold(admission, log, "leaves")
-        nursery.start_soon(_hold, admission, log, "last")
+            await _run_request(admission, log, "leaves")
+        nursery.start_soon(_run_request, admission, log, "last")
     assert log == ["first", "last"]
     assert admission.running == admission.waiting == 0
 
@@ -131,15 +134,15 @@
         try:
             rates.check("a", 40.0)
             granted += 1
-        except errors.RequestError as why:
-            assert 0 < why.retry_after <= 0.11
+        except errors.RequestError as exc:
+            assert 0 < exc.retry_after <= 0.11
         await trio.sleep(0.01)
     assert 100 <= granted <= 111
 
 
 @pytest.mark.parametrize(("requests", "allowed"), [(0, 20), (100, 20 + 0)])
-async def test_retries_are_a_part_of_requests(requests, allowed):
-    """However much fails, retries stay a tenth of the requests."""
+async def test_retries_are_a_fraction_of_requests(requests, allowed):
+    """Retries stay a tenth of the requests, however many requests fail."""
     budget = limits.RetryBudget()
     for _ in range(requests):
         budget.note_request()
--- a/tests/limits/test_load.py
+++ b/tests/limits/test_load.py
@@ -1,4 +1,4 @@
-"""What others say of their load is added up right, and only once."""
+"""The sums of the loads that other entries report."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -12,28 +12,28 @@
         TargetLoad, st.integers(0, 40), st.integers(0, 10**7).map(float)
     ),
 )
-_NEWS = st.tuples(
+_REPORTS = st.tuples(
     st.sampled_from(["e-1", "e-2", "e-3", "e-4"]),
     st.none() | st.tuples(_LOADS, st.integers(0, 5)),
 )
 
 
-@given(st.lists(_NEWS, max_size=40))
-def test_sums_are_those_of_the_last_news_of_each_entry(news):
-    """Entries speak in any order, say the same twice, go and come back.
+@given(st.lists(_REPORTS, max_size=40))
+def test_sums_are_those_of_the_last_report_of_each_entry(reports):
+    """Entries report in any order, repeat reports, leave and return.
 
-    A heartbeat may be lost, come twice, or belong to an entry that started
-    anew.  After each one the sums are what adding up everybody's last word
-    gives; a sum that drifted would keep callers off idle engines for good.
+    A heartbeat may be lost, be duplicated or belong to a restarted entry.
+    After each one the sums equal those of all last reports; a sum that
+    drifted would keep callers off idle engines permanently.
     """
     book, last = LoadBook(), {}
-    for entry, said in news:
-        if said is None:
+    for entry, report in reports:
+        if report is None:
             last.pop(entry, None)
             book.forget([entry])
         else:
-            last[entry] = said
-            book.take_others(entry, *said)
+            last[entry] = report
+            book.take_others(entry, *report)
         for target in ("i-1", "i-2", "i-3"):
             known = [
                 loads.get(target, TargetLoad()) for loads, _ in last.values()
@@ -46,7 +46,7 @@
 
 
 class _CountedLoads(dict):
-    """Counts how often it is read as a whole."""
+    """A dictionary that counts how often all items are read."""
 
     reads = 0
 
@@ -55,12 +55,12 @@
         return super().items()
 
 
-def test_news_of_one_entry_costs_nothing_for_the_others():
-    """Callers of a small instance wait while it adds up others' loads.
+def test_a_report_does_not_read_the_reports_of_other_entries():
+    """Callers of a small instance wait while it adds up the others' loads.
 
-    With 68 entries each hears of 83 heartbeats a second.  When each of them
-    made it read what all the others had said, that took two thirds of a
-    core, and a caller's request came after it.
+    With 68 entries each receives 83 heartbeats per second.  Reading all other
+    reports for each of them took two thirds of a core and delayed callers'
+    requests.
     """
     book = LoadBook()
     others = [_CountedLoads({"i-1": TargetLoad(1, 100.0)}) for _ in range(67)]
--- a/tests/limits/test_quarantine.py
+++ b/tests/limits/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Requests that are kept away, for how long, and who tries them again."""
+"""Quarantines: their duration, their trials and their exchange."""
 
 import hypothesis
 from hypothesis import strategies
@@ -9,7 +9,7 @@
 
 
 class _Gateway:
-    """A book with a clock of its own."""
+    """A quarantine book with its own clock."""
 
     def __init__(self, now=1000.0, owns=True):
         self.now = now
@@ -18,20 +18,20 @@
             self.recorder, lambda _: owns, lambda: self.now
         )
 
-    def tell(self, other, late=0.0):
-        """Let another gateway hear of what this one knows."""
-        for one, age in self.book.draw_told():
-            told = Quarantine(
-                one.fingerprint,
-                one.round,
+    def report_to(self, other, late=0.0):
+        """Send a sample of this gateway's quarantines to another gateway."""
+        for quarantine, age in self.book.sample_for_heartbeat():
+            reported = Quarantine(
+                quarantine.fingerprint,
+                quarantine.round,
                 other.now - age,
-                one.seconds,
-                one.crashes,
+                quarantine.seconds,
+                quarantine.crashes,
             )
-            other.book.take(told, "a peer")
+            other.book.take(reported, "a peer")
 
 
-def test_a_request_is_refused_with_the_time_that_is_left():
+def test_a_request_is_refused_with_the_remaining_time():
     gateway = _Gateway()
     assert gateway.book.admit("bad") == 0.0
     gateway.book.begin("bad", 3, "a test")
@@ -41,13 +41,14 @@
     assert gateway.book.refused == 1
 
 
-def test_one_gateway_tries_it_again_one_at_a_time():
-    """The time is over.  One request is let through by one gateway; until it
-    is known how that ended, and everywhere else, the others wait.
+def test_one_gateway_admits_one_trial_at_a_time():
+    """The quarantine has lasted its time.  One gateway admits a single trial.
+    Other requests wait there until the trial's result is known, and at the
+    other gateways.
     """
     owner, other = _Gateway(), _Gateway(owns=False)
     owner.book.begin("bad", 3, "a test")
-    owner.tell(other)
+    owner.report_to(other)
     for gateway in (owner, other):
         gateway.now += 61.0
     assert other.book.admit("bad") == 1.0
@@ -60,7 +61,7 @@
     assert other.book.begin("bad", 4, "it ended one more").seconds == 240.0
 
 
-def test_it_lasts_longer_each_time_and_is_forgotten_at_last():
+def test_quarantines_grow_and_expire():
     gateway = _Gateway()
     lasted = []
     for _ in range(5):
@@ -69,47 +70,47 @@
     assert lasted == [60.0, 240.0, 960.0, 3600.0, 3600.0]
     gateway.now += 3600.0 + 600.0
     assert gateway.book.admit("bad") == 0.0
-    assert gateway.book.draw_told() == []
+    assert gateway.book.sample_for_heartbeat() == []
 
 
-def test_targets_that_end_soon_after_its_beginning_do_not_prolong_it():
-    """Other gateways had sent the request on before they knew."""
+def test_crashes_soon_after_the_beginning_do_not_prolong_it():
+    """Other gateways sent the request before they received the quarantine."""
     gateway = _Gateway()
     gateway.book.begin("bad", 3, "a test")
-    assert not gateway.book.is_tried_again("bad", gateway.now + 4.0)
-    assert gateway.book.is_tried_again("bad", gateway.now + 61.0)
-    assert not gateway.book.is_tried_again("good", gateway.now + 61.0)
+    assert not gateway.book.crashed_again("bad", gateway.now + 4.0)
+    assert gateway.book.crashed_again("bad", gateway.now + 61.0)
+    assert not gateway.book.crashed_again("good", gateway.now + 61.0)
 
 
-def test_old_news_brings_no_quarantine_back():
-    """A request was answered, so its quarantine is over.  A gateway that was
-    frozen meanwhile still tells of it.
+def test_an_outdated_report_does_not_restore_a_quarantine():
+    """A request was answered, so its quarantine ended.  A gateway that was
+    frozen meanwhile still reports the quarantine.
     """
     gateway, frozen = _Gateway(), _Gateway()
     gateway.book.begin("bad", 3, "a test")
-    gateway.tell(frozen)
+    gateway.report_to(frozen)
     gateway.book.end("bad", "it was answered")
-    frozen.tell(gateway)
+    frozen.report_to(gateway)
     assert gateway.book.admit("bad") == 0.0
-    gateway.tell(frozen)
+    gateway.report_to(frozen)
     assert frozen.book.admit("bad") == 0.0
     again = gateway.book.begin("bad", 4, "a test")
     assert again.round == 3
-    gateway.tell(frozen)
+    gateway.report_to(frozen)
     assert frozen.book.admit("bad") > 0.0
 
 
-def test_what_is_kept_and_told_is_bounded():
+def test_memory_and_reports_are_bounded():
     gateway = _Gateway()
     for number in range(2000):
         gateway.book.begin(f"bad{number}", 3, "a test")
         gateway.now += 0.001
     assert len(gateway.book.list_all()) == 1024
     assert gateway.book.find("bad0") is None
-    told = {one.fingerprint for one, _ in gateway.book.draw_told()}
-    assert len(told) == 8
-    more = {one.fingerprint for one, _ in gateway.book.draw_told()}
-    assert told != more
+    sample = {q.fingerprint for q, _ in gateway.book.sample_for_heartbeat()}
+    assert len(sample) == 8
+    other = {q.fingerprint for q, _ in gateway.book.sample_for_heartbeat()}
+    assert sample != other
 
 
 _STEPS = strategies.lists(
@@ -123,10 +124,10 @@
 
 
 @hypothesis.given(_STEPS)
-def test_all_that_hear_of_each_other_agree(steps):
-    """Gateways begin, end and tell in any order, with any news lost.  Once
-    each has heard of the others all refuse the same, and what counts was
-    done by one of them.
+def test_gateways_that_exchange_reports_agree(steps):
+    """Gateways begin, end and report quarantines in any order, with any
+    reports lost.  Once each has received the reports of the others, all of
+    them have the same state.
     """
     gateways = [_Gateway(now) for now in (10.0, 500.0, 9000.0)]
     for step, one, other in steps:
@@ -135,17 +136,17 @@
         elif step == "end":
             gateways[one].book.end("bad", "it was answered")
         elif step == "tell":
-            gateways[one].tell(gateways[other])
+            gateways[one].report_to(gateways[other])
         else:
             for gateway in gateways:
                 gateway.now += 0.5
     for _ in range(2):
         for one in gateways:
             for other in gateways:
-                one.tell(other)
+                one.report_to(other)
     rounds = {
-        one.round
+        quarantine.round
         for gateway in gateways
-        for one, _ in gateway.book.draw_told()
+        for quarantine, _ in gateway.book.sample_for_heartbeat()
     }
     assert len(rounds) <= 1
--- a/tests/limits/test_silences.py
+++ b/tests/limits/test_unresponsive.py
@@ -1,4 +1,4 @@
-"""Requests whose targets answer nothing since: held back for a moment."""
+"""Requests at unresponsive targets, which are deferred for a short time."""
 
 import pytest
 
@@ -30,67 +30,67 @@
     return CrashHistory(time)
 
 
-def test_three_silent_targets_hold_a_request_back(history):
-    """Each target that ran a request answers nothing since.  Before any is
-    back and tells that it ended, the request would take all others too.
+def test_three_unresponsive_targets_defer_a_request(history):
+    """Each target that ran a request has been unresponsive since.  Before one
+    is back and reports its restart, the request would crash all others too.
     """
     for number in (1, 2):
         history.silent.note(_run(number))
-        assert not history.is_held(_BAD)
+        assert not history.is_deferred(_BAD)
     assert history.is_suspected(_BAD)
     history.silent.note(_run(3), own=False)
-    assert history.is_held(_BAD)
+    assert history.is_deferred(_BAD)
 
 
-def test_one_attempt_holds_nothing_back(history):
-    """A whole data centre falls silent under a stream that is led on."""
+def test_a_single_attempt_is_not_deferred(history):
+    """A whole data centre becomes unresponsive while a stream is rerouted."""
     for number in (1, 2, 3):
         history.silent.note(_run(number, attempt=9))
-    assert not history.is_held(_BAD)
+    assert not history.is_deferred(_BAD)
 
 
-def test_an_answer_speaks_for_a_request(history):
+def test_an_answered_request_is_not_deferred(history):
     for number in (1, 2, 3):
         history.silent.note(_run(number))
     history.note_answered(_BAD)
-    assert not history.is_held(_BAD)
+    assert not history.is_deferred(_BAD)
 
 
-def test_a_target_that_lives_counts_no_more(history):
+def test_a_target_that_answers_again_no_longer_counts(history):
     for number in (1, 2, 3):
         history.silent.note(_run(number))
     history.silent.drop(_run(2))
-    assert not history.is_held(_BAD)
+    assert not history.is_deferred(_BAD)
 
 
-def test_ends_and_silence_count_together(history):
-    """Two are known to have ended, the third answers nothing; once that is
-    known to have ended as well, the request is its cause.
+def test_crashed_and_unresponsive_targets_count_together(history):
+    """Two targets are known to have crashed and a third is unresponsive.  Once
+    the third is known to have crashed as well, the request is the cause.
     """
     history.note_crash(_run(1))
     history.note_crash(_run(2))
     history.silent.note(_run(3))
-    assert history.is_held(_BAD)
+    assert history.is_deferred(_BAD)
     assert not history.find_causes(())
     history.note_crash(_run(3))
-    assert not history.is_held(_BAD)
+    assert not history.is_deferred(_BAD)
     assert history.find_causes(()) == {_BAD: 3}
 
 
 @pytest.mark.parametrize(("own", "seconds"), [(False, 7.0), (True, 31.0)])
-def test_silence_counts_for_a_moment(history, time, own, seconds):
+def test_unresponsive_runs_expire(history, time, own, seconds):
     for number in (1, 2, 3):
         history.silent.note(_run(number), own=own)
-    assert history.is_held(_BAD)
+    assert history.is_deferred(_BAD)
     assert bool(history.silent.list_own()) == own
     time.now += seconds
-    assert not history.is_held(_BAD)
+    assert not history.is_deferred(_BAD)
     assert not history.silent.list_own()
 
 
-def test_what_a_peer_says_shortens_nothing(history, time):
+def test_a_peer_report_does_not_shorten_an_own_observation(history, time):
     for number in (1, 2, 3):
         history.silent.note(_run(number))
         history.silent.note(_run(number), own=False)
     time.now += 10.0
-    assert history.is_held(_BAD)
+    assert history.is_deferred(_BAD)
--- a/tests/limits/test_windows.py
+++ b/tests/limits/test_windows.py
@@ -1,9 +1,9 @@
-"""Counts of a window that moves on."""
+"""Counts of events in a sliding window."""
 
 from magnoliacove.limits.windows import WindowCounts
 
 
-def test_what_is_older_than_the_window_counts_no_longer():
+def test_events_older_than_the_window_do_not_count():
     now = 0.0
     counts = WindowCounts(2.0, lambda: now)
     counts.note("llm")
--- a/tests/peers/samples.py
+++ b/tests/peers/samples.py
@@ -1,10 +1,10 @@
-"""A heartbeat with something in each of its fields."""
+"""A sample heartbeat with a value in each field."""
 
 from magnoliacove import peers
 from magnoliacove.directory.holdings import Holding
 from magnoliacove.directory.listed import LayerRange
 from magnoliacove.limits import TargetLoad
-from magnoliacove.limits.backpressure import ToldLimit
+from magnoliacove.limits.backpressure import ReportedLimit
 from magnoliacove.limits.grants import Grant
 from magnoliacove.limits.runs import CrashedRun
 from magnoliacove.platform.eras import MOST_ERA
@@ -50,8 +50,8 @@
             ),
         ),
         "limits": (
-            ToldLimit("i-4", 1.2, 0.75),
-            ToldLimit("i-5", None, 2.0),
+            ReportedLimit("i-4", 1.2, 0.75),
+            ReportedLimit("i-5", None, 2.0),
         ),
         "grants": (Grant("i-4", "g-1", 0.5), Grant("i-4", "g-2", 0.75)),
         "answered": {"ffeeddccbbaa9988": 7},
--- a/tests/peers/test_datagram.py
+++ b/tests/peers/test_datagram.py
@@ -1,4 +1,4 @@
-"""A heartbeat comes out of its datagram as it went in, or not at all."""
+"""Encoding and decoding of heartbeats."""
 
 import pathlib
 import zlib
@@ -12,22 +12,22 @@
 from tests.peers.samples import make_heartbeat
 
 
-def test_a_heartbeat_survives_its_datagram():
+def test_a_decoded_heartbeat_equals_the_encoded_one():
     sent = make_heartbeat(named=["10.0.0.1:7340"])
     assert peers.Heartbeat.decode(sent.encode()) == sent
 
 
 @pytest.mark.parametrize("data", [b"", b"x", b"\xff" * 64])
-def test_what_is_no_heartbeat(data):
+def test_invalid_datagrams_are_refused(data):
     with pytest.raises(errors.ProtocolError):
         peers.Heartbeat.decode(data)
 
 
-def test_columns_of_unequal_length_are_no_heartbeat():
-    """A datagram names two engines and tells the load of one.
+def test_columns_of_unequal_length_are_refused():
+    """A datagram has the names of two engines but the load of only one.
 
-    Pairing them up as far as they go would give one engine's load to
-    nobody, and callers an engine that is full.
+    Pairing the columns as far as they go would drop one engine's load and
+    send callers to an engine that is full.
     """
     data = zlib.decompress(make_heartbeat().encode())
     schema = capnp.load(
--- a/tests/peers/test_heartbeats.py
+++ b/tests/peers/test_heartbeats.py
@@ -39,11 +39,12 @@
         return wire.Address("127.0.0.1", s.getsockname()[1])
 
 
-async def test_each_of_many_peers_is_named_in_time(nursery):
-    """Callers are sent to engines that other gateways have filled already.
+async def test_each_of_many_peers_is_eventually_named(nursery):
+    """Guards against gateways that do not discover each other and so send
+    callers to engines that the others have already filled.
 
-    A heartbeat names 64 peers at most.  When 70 were heard and always the
-    same 64 were named, the last six never learned of each other's load.
+    A heartbeat names at most 64 peers.  With 70 peers, if always the same 64
+    were named, the other six would never receive each other's load.
     """
     address, named = _free_port(), set()
 
@@ -75,8 +76,8 @@
 
 
 async def test_gateways_find_each_other_through_one_seed(nursery):
-    """Three gateways start; two know the first one only.  All hear all.
-    One falls silent, and the others notice.
+    """Three gateways start, and two have only the first as their seed.  All
+    discover each other.  Then one stops, and the others detect it.
     """
     addresses = [_free_port() for _ in range(3)]
     gateways = [
@@ -104,9 +105,9 @@
     nursery.cancel_scope.cancel()
 
 
-async def test_old_and_foreign_datagrams_change_nothing(nursery):
-    """A datagram comes late, after a newer one; another holds no
-    heartbeat at all.  Neither is taken for news.
+async def test_outdated_and_invalid_datagrams_are_ignored(nursery):
+    """A datagram arrives late, after a newer one, and another contains no
+    heartbeat.  Neither is applied.
     """
     address = _free_port()
     gateway = _Gateway("g-1", address, [])
@@ -127,11 +128,11 @@
     nursery.cancel_scope.cancel()
 
 
-async def test_a_snapshot_is_given_to_who_asks(nursery):
-    """A gateway starts while the store is away.  A peer gives it the
-    configuration and the targets that it knows.
+async def test_a_peer_serves_its_snapshot(nursery):
+    """A gateway starts while the store is unreachable.  A peer sends it its
+    configuration and list of targets.
     """
-    known = snapshots.PeerSnapshot(
+    snapshot = snapshots.PeerSnapshot(
         b'{"version":7}',
         (
             ListedTarget(
@@ -153,13 +154,13 @@
         "g-1",
         network,
         recorder,
-        lambda: known,
+        lambda: snapshot,
     )
     await trio.sleep(0.05)
-    found = await snapshots.ask_snapshot(address, "g-2", network, recorder)
-    assert found == known
-    nobody = _free_port()
+    answer = await snapshots.ask_snapshot(address, "g-2", network, recorder)
+    assert answer == snapshot
+    unused = _free_port()
     assert (
-        await snapshots.ask_snapshot(nobody, "g-2", network, recorder) is None
+        await snapshots.ask_snapshot(unused, "g-2", network, recorder) is None
     )
     nursery.cancel_scope.cancel()
--- a/tests/placement/test_duty.py
+++ b/tests/placement/test_duty.py
@@ -293,7 +293,7 @@
     given = len(fleet.calls.given)
     fleet.add_gateway("g-2")
     fleet.books[1].take("i-0", TargetNotice(rate_limit=0.1), "a request")
-    fleet.permits[1].try_call_for_duty("i-0")
+    fleet.permits[1].try_call_as_leader("i-0")
     listed = fleet.lists[1].find("i-0")
     layers = fleet.calls.all["i-0"].layers
     fleet.lists[1].apply(replace(listed, layers=layers, revision=2))
--- a/tests/routing/test_candidates.py
+++ b/tests/routing/test_candidates.py
@@ -13,7 +13,7 @@
 from magnoliacove.directory.targets import TargetList
 from magnoliacove.limits import LoadBook
 from magnoliacove.limits import TargetLoad
-from magnoliacove.limits import UnheardRequests
+from magnoliacove.limits import UnreportedRequests
 from magnoliacove.limits.backpressure import BackpressureBook
 from magnoliacove.limits.grants import GrantBook
 from magnoliacove.limits.permits import Permits
@@ -39,7 +39,7 @@
             self.health,
             self.holdings,
             self.loads,
-            UnheardRequests(),
+            UnreportedRequests(),
             self.permits,
             random.Random(1),
         )
