--- a/magnoliacove/limits/__init__.py
+++ b/magnoliacove/limits/__init__.py
@@ -12,10 +12,10 @@
 
 __all__ = [
     "Admission",
+    "CapacityQueue",
     "LoadBook",
     "RateLimit",
     "RetryBudget",
-    "CapacityQueue",
     "SharedRetryBudget",
     "TargetLoad",
     "UnreportedRequests",
--- a/magnoliacove/limits/backpressure.py
+++ b/magnoliacove/limits/backpressure.py
@@ -13,7 +13,7 @@
 
 from magnoliacove.timeline import Recorder
 
-__all__ = ["BackpressureBook", "TargetNotice", "ReportedLimit"]
+__all__ = ["BackpressureBook", "ReportedLimit", "TargetNotice"]
 
 # Seconds for which heartbeats report the end of a limit; by then every other
 # gateway has received it.
@@ -206,9 +206,9 @@
 
         :param known: the targets that exist.
         """
-        for kept in (self._notices, self._limits, self._backoffs):
-            for target in set(kept) - known:
-                del kept[target]
+        for values in (self._notices, self._limits, self._backoffs):
+            for target in set(values) - known:
+                del values[target]
         self._leaving &= known
 
     def _set_limit(self, target: str, limit: _Limit) -> None:
--- a/magnoliacove/limits/crashes.py
+++ b/magnoliacove/limits/crashes.py
@@ -121,18 +121,18 @@
         self.silent.drop(run)
         if age >= _RETENTION:
             return False
-        known = self._requests.setdefault(run.fingerprint, _Request())
+        request = self._requests.setdefault(run.fingerprint, _Request())
         self._requests.move_to_end(run.fingerprint)
         if len(self._requests) > _MAX_REQUESTS:
             self._requests.popitem(last=False)
-        if run.target in known.crashes or run.target in known.cleared:
+        if run.target in request.crashes or run.target in request.cleared:
             return False
-        known.crashes[run.target] = run, at
-        if len(known.crashes) > _MAX_CRASHES:
-            del known.crashes[next(iter(known.crashes))]
-        known.attempts.add(run.attempt)
-        known.longest = max(known.longest, run.seconds)
-        known.last_at = max(known.last_at, at)
+        request.crashes[run.target] = run, at
+        if len(request.crashes) > _MAX_CRASHES:
+            del request.crashes[next(iter(request.crashes))]
+        request.attempts.add(run.attempt)
+        request.longest = max(request.longest, run.seconds)
+        request.last_at = max(request.last_at, at)
         if own:
             self._own.append((run, at))
         return True
@@ -142,9 +142,9 @@
 
         :param seconds: since the run's first bytes.
         """
-        known = self._requests.get(fingerprint)
-        if known is not None:
-            known.longest = max(known.longest, seconds)
+        request = self._requests.get(fingerprint)
+        if request is not None:
+            request.longest = max(request.longest, seconds)
 
     def note_answered(self, fingerprint: str) -> None:
         """Record that a request was answered in full."""
@@ -230,8 +230,8 @@
 
         An unresponsive target counts as ended.
         """
-        known = self._requests.get(fingerprint)
-        ended = known is not None and bool(known.crashes)
+        request = self._requests.get(fingerprint)
+        ended = request is not None and bool(request.crashes)
         return ended or bool(self.silent.find(fingerprint))
 
     def has_answered(self, fingerprint: str) -> bool:
@@ -249,11 +249,11 @@
         Peers continue to report them for a while, so their targets stay
         recorded.
         """
-        known = self._requests.get(fingerprint)
-        if known is not None:
+        request = self._requests.get(fingerprint)
+        if request is not None:
             self._requests[fingerprint] = _Request(
-                last_at=known.last_at,
-                cleared=frozenset(known.crashes),
+                last_at=request.last_at,
+                cleared=frozenset(request.crashes),
             )
 
     def forget_old(self) -> None:
--- a/magnoliacove/limits/gaps.py
+++ b/magnoliacove/limits/gaps.py
@@ -16,7 +16,7 @@
 _INITIAL_DURATION = 2.0
 # Weight of the newest gap in the moving average.
 _SMOOTHING = 0.3
-# Seconds; a gap that already lasts longer than usual may end at any moment.
+# Seconds; a gap that already lasts longer than the mean may end at any moment.
 _MIN_REMAINING = 0.3
 # Gaps are observed only by requests that arrive during them.  A gap that no
 # request has observed for this many seconds is assumed to have ended.  If it
@@ -28,13 +28,13 @@
 class GapEstimator:
     """The gaps in one model's layers, as one gateway observes them.
 
-    :param usual: the moving average of the duration of gaps, in seconds.
+    :param mean_duration: the moving average of the duration of gaps, seconds.
     """
 
     def __init__(
         self, read_time: Callable[[], float] = trio.current_time
     ) -> None:
-        self.usual = _INITIAL_DURATION
+        self.mean_duration = _INITIAL_DURATION
         self._read_time = read_time
         self._gap_since: float | None = None
         self._observed_at = 0.0
@@ -48,8 +48,8 @@
         if self._gap_since is not None:
             ended = min(now, self._observed_at + _OBSERVATION_TIMEOUT)
             if complete or ended < now:
-                self.usual += _SMOOTHING * (
-                    ended - self._gap_since - self.usual
+                self.mean_duration += _SMOOTHING * (
+                    ended - self._gap_since - self.mean_duration
                 )
                 self._gap_since = None
         if complete:
@@ -62,4 +62,4 @@
         if self._gap_since is None:
             return 0.0
         lasted = self._read_time() - self._gap_since
-        return max(_MIN_REMAINING, self.usual - lasted)
+        return max(_MIN_REMAINING, self.mean_duration - lasted)
--- a/magnoliacove/limits/grants.py
+++ b/magnoliacove/limits/grants.py
@@ -58,7 +58,7 @@
 def divide_limit(
     target: str,
     limit: float,
-    paces: Mapping[str, float],
+    request_rates: Mapping[str, float],
     present: Collection[str] = (),
 ) -> list[Grant]:
     """Return the grants that divide a limit.
@@ -67,24 +67,28 @@
     with the request rate as the weight.  So different gateways get the grants
     of different targets, and they keep them.
 
-    :param paces: each gateway's requests per second for the target's
+    :param request_rates: each gateway's requests per second for the target's
         service.
     :param present: the gateways that have a grant now.
     """
     rate = max(limit, _MIN_RATE)
-    paces = {
-        name: max(pace, _MIN_REQUEST_RATE) for name, pace in paces.items()
+    request_rates = {
+        name: max(request_rate, _MIN_REQUEST_RATE)
+        for name, request_rate in request_rates.items()
     }
     weights = {
-        name: pace * (_INCUMBENT_FACTOR if name in present else 1.0)
-        for name, pace in paces.items()
+        name: request_rate * (_INCUMBENT_FACTOR if name in present else 1.0)
+        for name, request_rate in request_rates.items()
     }
     ranked = sorted(
         weights, key=lambda name: _compute_rank(target, name, weights[name])
     )
     chosen = ranked[: math.floor(rate) + _EXTRA_GRANTS]
-    total = sum(paces[name] for name in chosen)
-    return [Grant(target, name, rate * paces[name] / total) for name in chosen]
+    total = sum(request_rates[name] for name in chosen)
+    return [
+        Grant(target, name, rate * request_rates[name] / total)
+        for name in chosen
+    ]
 
 
 def _compute_rank(target: str, gateway: str, weight: float) -> float:
--- a/magnoliacove/limits/quarantine.py
+++ b/magnoliacove/limits/quarantine.py
@@ -107,12 +107,12 @@
         self._recorder = recorder
         self._owns = owns
         self._read_time = read_time
-        self._known: dict[str, Quarantine] = {}
+        self._quarantines: dict[str, Quarantine] = {}
         self._tried_at: dict[str, float] = {}
 
     def find(self, fingerprint: str) -> Quarantine | None:
         """Return a request's quarantine, None when there is none."""
-        quarantine = self._known.get(fingerprint)
+        quarantine = self._quarantines.get(fingerprint)
         if quarantine is None or not quarantine.in_force:
             return None
         return (
@@ -149,7 +149,7 @@
 
     def begin(self, fingerprint: str, crashes: int, why: str) -> Quarantine:
         """Begin a quarantine, longer than a previous one that is in force."""
-        latest = self._known.get(fingerprint)
+        latest = self._quarantines.get(fingerprint)
         current = self.find(fingerprint)
         seconds = (
             min(current.seconds * _GROWTH_FACTOR, MAX_QUARANTINE)
@@ -185,10 +185,10 @@
         """Apply a quarantine that another gateway or the store reports.
 
         :param source: who reports it, for the log.
-        :returns: whether it was newer than the known one.
+        :returns: whether it is newer than the one recorded here.
         """
-        known = self._known.get(reported.fingerprint)
-        if known is not None and reported.round <= known.round:
+        latest = self._quarantines.get(reported.fingerprint)
+        if latest is not None and reported.round <= latest.round:
             return False
         if self._read_time() >= reported.expires_at:
             return False
@@ -208,7 +208,7 @@
 
     def list_all(self) -> list[Quarantine]:
         """Return the quarantines that are in force."""
-        return [q for q in map(self.find, tuple(self._known)) if q]
+        return [q for q in map(self.find, tuple(self._quarantines)) if q]
 
     def list_own(self) -> list[Quarantine]:
         """Return the quarantines whose first trial this gateway admits."""
@@ -221,7 +221,7 @@
         """
         self._drop_expired()
         now = self._read_time()
-        reported = list(self._known.values())
+        reported = list(self._quarantines.values())
         if len(reported) > _MAX_REPORTED:
             reported = random.sample(reported, _MAX_REPORTED)
         return [
@@ -229,7 +229,7 @@
         ]
 
     def _put(self, quarantine: Quarantine, why: str) -> None:
-        self._known[quarantine.fingerprint] = quarantine
+        self._quarantines[quarantine.fingerprint] = quarantine
         self._tried_at.pop(quarantine.fingerprint, None)
         self._recorder.record(
             "quarantine-begun" if quarantine.in_force else "quarantine-ended",
@@ -240,16 +240,18 @@
             seconds=round(quarantine.seconds, 1),
             age=round(self._read_time() - quarantine.since, 1),
         )
-        if len(self._known) > _MAX_QUARANTINES:
-            oldest = min(self._known.values(), key=lambda known: known.since)
+        if len(self._quarantines) > _MAX_QUARANTINES:
+            oldest = min(
+                self._quarantines.values(), key=lambda item: item.since
+            )
             self._drop(oldest.fingerprint)
 
     def _drop_expired(self) -> None:
         now = self._read_time()
-        for quarantine in tuple(self._known.values()):
+        for quarantine in tuple(self._quarantines.values()):
             if now >= quarantine.expires_at:
                 self._drop(quarantine.fingerprint)
 
     def _drop(self, fingerprint: str) -> None:
-        del self._known[fingerprint]
+        del self._quarantines[fingerprint]
         self._tried_at.pop(fingerprint, None)
--- a/tests/limits/test_crashes.py
+++ b/tests/limits/test_crashes.py
@@ -229,8 +229,8 @@
 
     New streams arrive all the time, some failed ones are retried, and one
     harmless request arrives more often than the cause.  Only the cause is
-    found, before it crashes more than three targets beyond those that are
-    needed to detect it.
+    found, before it crashes more than three targets that its quarantine could
+    have protected.
     """
     rng, case = random.Random(seed), _Case()
     attempts = iter(range(1000, 100_000))
--- a/tests/limits/test_gaps.py
+++ b/tests/limits/test_gaps.py
@@ -36,11 +36,11 @@
         time.now += 0.1
     gaps.note(True)
     assert gaps.estimate_remaining() == 0.0
-    assert gaps.usual == pytest.approx(2.75)
+    assert gaps.mean_duration == pytest.approx(2.75)
 
 
-@pytest.mark.parametrize("whole", [True, False])
-def test_a_gap_whose_end_is_not_observed_does_not_count_as_long(whole):
+@pytest.mark.parametrize("complete", [True, False])
+def test_a_gap_whose_end_is_not_observed_does_not_count_as_long(complete):
     """One request observes a short gap, and the next one arrives an hour
     later.  If that counted as a gap of an hour, all requests of the next gap
     would be refused at once, though a path exists again in two seconds.
@@ -49,9 +49,11 @@
     gaps = GapEstimator(time)
     gaps.note(False)
     time.now += 3600.0
-    gaps.note(whole)
-    assert gaps.usual < 2.0
-    assert gaps.estimate_remaining() == (0.0 if whole else gaps.usual)
+    gaps.note(complete)
+    assert gaps.mean_duration < 2.0
+    assert gaps.estimate_remaining() == (
+        0.0 if complete else gaps.mean_duration
+    )
 
 
 async def test_requests_that_a_gap_outlasts_are_refused_at_once(
--- a/tests/limits/test_grants.py
+++ b/tests/limits/test_grants.py
@@ -16,7 +16,7 @@
 from measure import limits
 
 _NAMES = [f"g-{n}" for n in range(330)]
-_PACES = strategies.dictionaries(
+_REQUEST_RATES = strategies.dictionaries(
     strategies.sampled_from(_NAMES),
     strategies.floats(0.0, 1e4),
     min_size=1,
@@ -32,12 +32,12 @@
         return self.now
 
 
-@given(paces=_PACES, limit=strategies.floats(0.0, 1e5))
-def test_grants_add_up_to_the_limit_and_are_few(paces, limit):
+@given(request_rates=_REQUEST_RATES, limit=strategies.floats(0.0, 1e5))
+def test_grants_add_up_to_the_limit_and_are_few(request_rates, limit):
     """Each grant accumulates one request, so with a grant for each of many
     gateways all of them could send at the same moment.
     """
-    made = divide_limit("i-1", limit, paces)
+    made = divide_limit("i-1", limit, request_rates)
     assert math.isclose(
         sum(grant.rate for grant in made), max(limit, 0.1), rel_tol=1e-6
     )
@@ -49,8 +49,10 @@
     """Request rates change by a third.  If grants moved with them, the
     accumulated requests would be lost, and the target would be under-used.
     """
-    paces = {f"g-{n}": 10.0 + n % 3 for n in range(12)}
-    before = {grant.gateway for grant in divide_limit("i-1", 1.2, paces)}
+    request_rates = {f"g-{n}": 10.0 + n % 3 for n in range(12)}
+    before = {
+        grant.gateway for grant in divide_limit("i-1", 1.2, request_rates)
+    }
     for shift in range(1, 12):
         shifted = {f"g-{n}": 8.0 + (n + shift) % 5 for n in range(12)}
         made = divide_limit("i-1", 1.2, shifted, before)
--- a/tests/limits/test_load.py
+++ b/tests/limits/test_load.py
@@ -35,12 +35,12 @@
             last[entry] = report
             book.take_others(entry, *report)
         for target in ("i-1", "i-2", "i-3"):
-            known = [
+            reported = [
                 loads.get(target, TargetLoad()) for loads, _ in last.values()
             ]
             assert book.read_others(target) == TargetLoad(
-                sum(load.requests for load in known),
-                sum(load.token_layers for load in known),
+                sum(load.requests for load in reported),
+                sum(load.token_layers for load in reported),
             )
         assert book.all_crossings == sum(count for _, count in last.values())
 
--- a/tests/limits/test_quarantine.py
+++ b/tests/limits/test_quarantine.py
@@ -43,8 +43,8 @@
 
 def test_one_gateway_admits_one_trial_at_a_time():
     """The quarantine has lasted its time.  One gateway admits a single trial.
-    Other requests wait there until the trial's result is known, and at the
-    other gateways.
+    The other requests there, and all requests at the other gateways, wait
+    until the trial's result is known.
     """
     owner, other = _Gateway(), _Gateway(owns=False)
     owner.book.begin("bad", 3, "a test")
--- a/tests/peers/test_heartbeats.py
+++ b/tests/peers/test_heartbeats.py
@@ -14,7 +14,7 @@
 class _Gateway:
     def __init__(self, name, address, seeds):
         self.taken = []
-        self.lost = []
+        self.unreachable = []
         self.recorder = timeline.Recorder(name)
 
         def make(sequence, named):
@@ -26,7 +26,7 @@
             self.recorder,
             make,
             self.taken.append,
-            self.lost.extend,
+            self.unreachable.extend,
         )
 
     def list_live(self):
@@ -99,7 +99,7 @@
             await trio.sleep(0.02)
     scopes[2].cancel()
     with trio.fail_after(3.0):
-        while "g-2" not in gateways[0].lost:
+        while "g-2" not in gateways[0].unreachable:
             await trio.sleep(0.02)
     assert gateways[0].list_live() == ["g-1"]
     nursery.cancel_scope.cancel()
