--- a/magnoliacove/gateway/holds.py
+++ b/magnoliacove/gateway/holds.py
@@ -101,7 +101,7 @@
         gaps.note(
             self._state.candidates.covers_all_layers(service, self.shape)
         )
-        return gaps.read_left()
+        return gaps.estimate_remaining()
 
     def has_other_path(self) -> bool:
         """Return whether there is a path without the present first engine."""
--- a/magnoliacove/placement/controller.py
+++ b/magnoliacove/placement/controller.py
@@ -163,7 +163,7 @@
                     # A second consecutive failure marks it as failed.
                     interval = min(interval, _REPORT_TIMEOUT)
                 due = now - engine.report_requested_at >= interval
-                if due and inputs.permits.try_call_for_duty(target.name):
+                if due and inputs.permits.try_call_as_leader(target.name):
                     engine.report_requested_at = now
                     nursery.start_soon(self._request_report, target, engine)
             if self._may_plan(service):
@@ -333,7 +333,7 @@
         leaving = self._inputs.permits.is_leaving(target.name) or (
             suspicion is not None and suspicion.leaving
         )
-        askable = self._inputs.permits.may_call_for_duty(target.name)
+        askable = self._inputs.permits.may_call_as_leader(target.name)
         withheld = not askable and not engine.failures
         layers = engine.ordered
         if layers is None:
@@ -367,7 +367,7 @@
     async def _send_order(
         self, target: ListedTarget, engine: _Engine, item: PlacedLayers
     ) -> None:
-        if not self._inputs.permits.try_call_for_duty(target.name):
+        if not self._inputs.permits.try_call_as_leader(target.name):
             engine.clear_order()
             return
         report = engine.report
