--- a/magnoliacove/configuration/routes.py
+++ b/magnoliacove/configuration/routes.py
@@ -63,7 +63,7 @@
         """Whether a request that may have run may be sent once more."""
         return self.idempotent or (self.streaming and self.resumable)
 
-    def draw_service(self, rng: random.Random) -> str:
+    def choose_service(self, rng: random.Random) -> str:
         """Return a service, each in proportion to its weight."""
         if len(self.shares) == 1:
             return self.shares[0].service
@@ -148,7 +148,7 @@
         """Tokens that a usual request holds at its end."""
         return self.usual_prompt + self.usual_answer
 
-    def count_room(self, accelerator: str, layers: int) -> float:
+    def compute_capacity(self, accelerator: str, layers: int) -> float:
         """Return token-layers of memory left beside some layers.
 
         A token-layer is the memory of one token in one layer.
--- a/magnoliacove/gateway/calls.py
+++ b/magnoliacove/gateway/calls.py
@@ -45,7 +45,7 @@
     target: ListedTarget
     answer: Answer | None = None
     body: bytes = b""
-    marks: headers.AnswerMarks | None = None
+    marks: headers.AnswerHeaders | None = None
     error: TargetError | None = None
 
     @property
--- a/magnoliacove/gateway/engines.py
+++ b/magnoliacove/gateway/engines.py
@@ -103,7 +103,7 @@
             taken.
         """
         self.orders += 1
-        body = engines.write_detour_order(request, path)
+        body = engines.write_reroute_order(request, path)
         status, _, _ = await self._call(
             first, b"POST", engines.ORDER_PATH, body
         )
@@ -117,7 +117,7 @@
         """
         self.reports += 1
         status, answered, _ = await self._call(target, b"GET", path, b"")
-        return engines.reads_leaving(status, answered, target.entry)
+        return engines.reports_leaving(status, answered, target.entry)
 
     async def _call(
         self,
--- a/magnoliacove/gateway/exchanges.py
+++ b/magnoliacove/gateway/exchanges.py
@@ -34,7 +34,7 @@
             request.headers,
             target=target,
             account=routed.account,
-            patience=routed.deadline - trio.current_time(),
+            timeout=routed.deadline - trio.current_time(),
             priority=routed.priority,
             last_event=last_event,
             path=path,
@@ -46,19 +46,19 @@
 
 async def read_answer(
     channel: Channel, request: str
-) -> tuple[Answer, headers.AnswerMarks]:
+) -> tuple[Answer, headers.AnswerHeaders]:
     """Return the head of the answer to a request, and what it says.
 
     :param request: the id of the request.
     :raises magnoliacove.gateway.channels.TargetError: when none comes.
     """
     answer = await channel.read_head(
-        request, lambda a: headers.read_answered(a.headers)
+        request, lambda a: headers.read_request_id(a.headers)
     )
     return answer, headers.read_answer(answer.status, answer.headers)
 
 
-def is_genuine(answer: Answer, marks: headers.AnswerMarks) -> bool:
+def is_genuine(answer: Answer, marks: headers.AnswerHeaders) -> bool:
     """Return whether a target gave an answer, and its body unchanged."""
     encoded = any(name == b"content-encoding" for name, _ in answer.headers)
     return marks.stamped and not encoded
--- a/magnoliacove/gateway/holds.py
+++ b/magnoliacove/gateway/holds.py
@@ -215,5 +215,9 @@
 def _guess_answer(routed: RoutedRequest, shape: ModelShape) -> float:
     """Return the likely number of tokens of the answer."""
     marks = routed.marks
-    likely = marks.likely_tokens or shape.usual_answer
-    return min(likely, marks.most_tokens) if marks.most_tokens else likely
+    likely = marks.expected_tokens or shape.usual_answer
+    return (
+        min(likely, marks.max_answer_tokens)
+        if marks.max_answer_tokens
+        else likely
+    )
--- a/magnoliacove/gateway/relay.py
+++ b/magnoliacove/gateway/relay.py
@@ -77,7 +77,7 @@
                 )
 
     async def _serve(
-        self, exchange: Exchange, marks: headers.CallerMarks
+        self, exchange: Exchange, marks: headers.CallerHeaders
     ) -> _Outcome:
         try:
             await self._state.wait_routes(_NOT_READY_PATIENCE)
@@ -93,7 +93,7 @@
         return _Outcome("ok", 200)
 
     def _route(
-        self, exchange: Exchange, marks: headers.CallerMarks
+        self, exchange: Exchange, marks: headers.CallerHeaders
     ) -> RoutedRequest:
         """Find out whose request it is and where it goes.
 
@@ -116,13 +116,13 @@
                 status=404,
             )
         account, priority = self._authenticate(table, route, marks)
-        patience = min(route.timeout, marks.patience or _DEFAULT_PATIENCE)
+        patience = min(route.timeout, marks.timeout or _DEFAULT_PATIENCE)
         self._state.seen_traffic = True
         return RoutedRequest(
             request=request,
             marks=marks,
             route=route,
-            service=table.services[route.draw_service(self._state.rng)],
+            service=table.services[route.choose_service(self._state.rng)],
             account=account,
             priority=priority,
             deadline=request.arrived + patience,
@@ -131,7 +131,7 @@
         )
 
     def _authenticate(
-        self, table: RouteTable, route: Route, marks: headers.CallerMarks
+        self, table: RouteTable, route: Route, marks: headers.CallerHeaders
     ) -> tuple[str, int]:
         """Return the client account's name and the request's priority."""
         if not table.needs_keys:
@@ -183,7 +183,7 @@
     async def _answer_fault(
         self,
         exchange: Exchange,
-        marks: headers.CallerMarks,
+        marks: headers.CallerHeaders,
         why: Exception,
     ) -> _Outcome:
         """Answer a request that met a fault of our own."""
@@ -204,7 +204,7 @@
     async def _answer_error(
         self,
         exchange: Exchange,
-        marks: headers.CallerMarks,
+        marks: headers.CallerHeaders,
         why: errors.RequestError,
     ) -> _Outcome:
         now = trio.current_time()
--- a/magnoliacove/gateway/requests.py
+++ b/magnoliacove/gateway/requests.py
@@ -8,7 +8,7 @@
 from magnoliacove.configuration.routes import Route
 from magnoliacove.configuration.routes import ServiceSpec
 from magnoliacove.gateway.callers import Request
-from magnoliacove.platform.headers import CallerMarks
+from magnoliacove.platform.headers import CallerHeaders
 
 __all__ = [
     "RoutedRequest",
@@ -50,7 +50,7 @@
     """
 
     request: Request
-    marks: CallerMarks
+    marks: CallerHeaders
     route: Route
     service: ServiceSpec
     account: str
--- a/magnoliacove/gateway/streams.py
+++ b/magnoliacove/gateway/streams.py
@@ -348,7 +348,7 @@
         await self._delivery.finish()
 
     async def _take_failure(
-        self, channel: Channel, answer: Answer, marks: headers.AnswerMarks
+        self, channel: Channel, answer: Answer, marks: headers.AnswerHeaders
     ) -> None:
         """Learn from an answer that is no stream.
 
--- a/magnoliacove/placement/balance.py
+++ b/magnoliacove/placement/balance.py
@@ -105,7 +105,7 @@
     engine: EngineState, layers: LayerRange, shape: ModelShape
 ) -> float:
     """Return the tokens that an engine has room for beside its layers."""
-    room = shape.count_room(engine.accelerator, layers.count)
+    room = shape.compute_capacity(engine.accelerator, layers.count)
     return room / layers.count
 
 
--- a/magnoliacove/platform/client.py
+++ b/magnoliacove/platform/client.py
@@ -18,7 +18,7 @@
 from magnoliacove import defaults
 from magnoliacove import errors
 from magnoliacove.platform import api
-from magnoliacove.platform.eras import MOST_ERA
+from magnoliacove.platform.eras import MAX_ERA
 from magnoliacove.platform.eras import StoreEra
 from magnoliacove.platform.eras import split_revision
 
@@ -199,7 +199,7 @@
             the answer was long on its way, and what it says is void.
         """
         told = [value for name, value in headers if name.lower() == _ERA]
-        if not told or not told[0].isdigit() or int(told[0]) > MOST_ERA:
+        if not told or not told[0].isdigit() or int(told[0]) > MAX_ERA:
             return
         if not self.era.note(int(told[0]), _SOURCE):
             raise errors.PlatformError(
--- a/magnoliacove/platform/engines.py
+++ b/magnoliacove/platform/engines.py
@@ -22,8 +22,8 @@
     "StalledRequest",
     "read_order_result",
     "read_report",
-    "reads_leaving",
-    "write_detour_order",
+    "reports_leaving",
+    "write_reroute_order",
     "write_place_order",
 ]
 
@@ -131,7 +131,7 @@
     return orjson.dumps(body)
 
 
-def write_detour_order(request: str, path: Path) -> bytes:
+def write_reroute_order(request: str, path: Path) -> bytes:
     """Return the body of an order to go on with a request on another path.
 
     :param path: has the same first stage as the present one.
@@ -141,7 +141,7 @@
     )
 
 
-def reads_leaving(
+def reports_leaving(
     status: int, headers: Sequence[tuple[bytes, bytes]], name: str
 ) -> bool:
     """Return whether the answer of a health check says that it leaves.
--- a/magnoliacove/platform/eras.py
+++ b/magnoliacove/platform/eras.py
@@ -9,12 +9,12 @@
 
 from collections.abc import Callable
 
-__all__ = ["MOST_ERA", "StoreEra", "join_revision", "split_revision"]
+__all__ = ["MAX_ERA", "StoreEra", "join_revision", "split_revision"]
 
 # The store's own number takes the lower 40 bits, which are enough for ten
 # years at 3,000 changes a second.  What peers send each other has 63 bits.
 _NUMBERS = 1 << 40
-MOST_ERA = (1 << 23) - 1
+MAX_ERA = (1 << 23) - 1
 
 
 def join_revision(era: int, number: int) -> int:
--- a/magnoliacove/platform/headers.py
+++ b/magnoliacove/platform/headers.py
@@ -8,11 +8,11 @@
 from magnoliacove.routing.paths import Path
 
 __all__ = [
-    "AnswerMarks",
-    "CallerMarks",
+    "AnswerHeaders",
+    "CallerHeaders",
     "copy_answer",
     "read_answer",
-    "read_answered",
+    "read_request_id",
     "read_caller",
     "write_path",
     "write_refusal",
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True)
-class CallerMarks:
+class CallerHeaders:
     """What a caller's headers say.
 
     :param request: the id of this attempt of the caller.
@@ -87,15 +87,15 @@
 
     request: str
     key: str
-    patience: float | None
+    timeout: float | None
     last_event: str
     prompt_tokens: int
-    most_tokens: int
-    likely_tokens: int
+    max_answer_tokens: int
+    expected_tokens: int
 
 
 @dataclass(frozen=True)
-class AnswerMarks:
+class AnswerHeaders:
     """What a target's headers say.
 
     :param request: the id of the request that is answered, or "".
@@ -116,37 +116,37 @@
     slots: int = 0
 
 
-def read_caller(headers: Headers) -> CallerMarks:
+def read_caller(headers: Headers) -> CallerHeaders:
     """Decode a caller's headers."""
     values = dict(headers)
     scheme, _, key = values.get(_AUTHORIZATION, b"").partition(b" ")
     prompt, _, most = values.get(_TOKENS, b"").partition(b",")
-    patience = _read_count(values.get(_DEADLINE, b""))
-    return CallerMarks(
+    timeout = _read_count(values.get(_DEADLINE, b""))
+    return CallerHeaders(
         request=values.get(_REQUEST_ID, b"").decode("latin-1"),
         key=key.strip().decode("latin-1")
         if scheme.lower() == _KEY_SCHEME
         else "",
-        patience=patience / 1000 if patience is not None else None,
+        timeout=timeout / 1000 if timeout is not None else None,
         last_event=values.get(_LAST_EVENT, b"").decode("latin-1"),
         prompt_tokens=_read_count(prompt) or 0,
-        most_tokens=_read_count(most) or 0,
-        likely_tokens=_read_count(values.get(_LENGTH_HINT, b"")) or 0,
+        max_answer_tokens=_read_count(most) or 0,
+        expected_tokens=_read_count(values.get(_LENGTH_HINT, b"")) or 0,
     )
 
 
-def read_answered(headers: Headers) -> str:
+def read_request_id(headers: Headers) -> str:
     """Return the id of the request that a target answers, or ""."""
     return dict(headers).get(_REQUEST_ID, b"").decode("latin-1")
 
 
-def read_answer(status: int, headers: Headers) -> AnswerMarks:
+def read_answer(status: int, headers: Headers) -> AnswerHeaders:
     """Decode a target's headers."""
     values = dict(headers)
     load = [_read_count(p) for p in values.get(_LOAD, b"").split(b",")]
     known = len(load) == 3 and None not in load
-    return AnswerMarks(
-        request=read_answered(headers),
+    return AnswerHeaders(
+        request=read_request_id(headers),
         stamped=_STAMP in values,
         not_run=_NOT_RUN in values or status == 421,
         faulty=values.get(_FAULTY, b"").decode("latin-1"),
@@ -161,7 +161,7 @@
     *,
     target: ListedTarget,
     account: str,
-    patience: float,
+    timeout: float,
     priority: int,
     last_event: str = "",
     path: Path | None = None,
@@ -175,7 +175,7 @@
     dropped = _HOP_BY_HOP | _OURS | _list_named(headers)
     kept = [(n, v) for n, v in headers if n not in dropped]
     kept += [
-        (_DEADLINE, b"%d" % max(1, int(patience * 1000))),
+        (_DEADLINE, b"%d" % max(1, int(timeout * 1000))),
         (_INSTANCE, target.entry.encode()),
         (_PRIORITY, b"%d" % min(max(0, priority), _LOWEST_PRIORITY)),
     ]
--- a/magnoliacove/routing/candidates.py
+++ b/magnoliacove/routing/candidates.py
@@ -131,7 +131,9 @@
             if not taking and not (beyond_limits and inner):
                 continue
             load = self._loads.read(target.name)
-            room = shape.count_room(target.accelerator, holding.layers.count)
+            room = shape.compute_capacity(
+                target.accelerator, holding.layers.count
+            )
             if self._refused.get(target.name, _NEVER_REFUSED)[1] > now:
                 continue
             options.append(
--- a/measure/gateway.py
+++ b/measure/gateway.py
@@ -139,7 +139,7 @@
             known[item.target].data_centre,
             known[item.target].accelerator,
             item.layers,
-            shape.count_room(
+            shape.compute_capacity(
                 known[item.target].accelerator, item.layers.count
             ),
         )
--- a/tests/peers/samples.py
+++ b/tests/peers/samples.py
@@ -7,7 +7,7 @@
 from magnoliacove.limits.backpressure import ToldLimit
 from magnoliacove.limits.grants import Grant
 from magnoliacove.limits.runs import CrashedRun
-from magnoliacove.platform.eras import MOST_ERA
+from magnoliacove.platform.eras import MAX_ERA
 from magnoliacove.platform.eras import join_revision
 
 
@@ -38,8 +38,8 @@
         "counted_for": 1.5,
         "peers": tuple(named),
         "acting": True,
-        "newest_change": join_revision(MOST_ERA, 70),
-        "store_era": MOST_ERA,
+        "newest_change": join_revision(MAX_ERA, 70),
+        "store_era": MAX_ERA,
         "crashes": (
             peers.ReportedCrash(
                 CrashedRun("00c3b2a190817263", 4_000_000_000, "i-2", 0.125),
--- a/tests/placement/test_plan.py
+++ b/tests/placement/test_plan.py
@@ -99,7 +99,7 @@
         layers = engine.layers
         if engine.data_centre != place or layers is None:
             continue
-        room = shape.count_room(engine.accelerator, layers.count)
+        room = shape.compute_capacity(engine.accelerator, layers.count)
         for n in range(layers.first, layers.end):
             rooms[n] += room / layers.count / shape.usual_tokens
     return min(rooms)
--- a/tests/platform/test_engines.py
+++ b/tests/platform/test_engines.py
@@ -95,6 +95,6 @@
 def test_leaving_is_told_by_the_engine_itself():
     """Another engine may have the address by now; its word counts not."""
     own = [(b"x-instance-id", b"i-1")]
-    assert engines.reads_leaving(503, own, "i-1")
-    assert not engines.reads_leaving(503, own, "i-2")
-    assert not engines.reads_leaving(200, own, "i-1")
+    assert engines.reports_leaving(503, own, "i-1")
+    assert not engines.reports_leaving(503, own, "i-2")
+    assert not engines.reports_leaving(200, own, "i-1")
--- a/tests/platform/test_eras.py
+++ b/tests/platform/test_eras.py
@@ -12,13 +12,13 @@
 
 from magnoliacove import errors
 from magnoliacove import platform
-from magnoliacove.platform.eras import MOST_ERA
+from magnoliacove.platform.eras import MAX_ERA
 from magnoliacove.platform.eras import StoreEra
 from magnoliacove.platform.eras import join_revision
 from magnoliacove.platform.eras import split_revision
 
 
-@given(st.integers(0, MOST_ERA), st.integers(0, 2**40 - 1))
+@given(st.integers(0, MAX_ERA), st.integers(0, 2**40 - 1))
 def test_a_revision_holds_both_numbers(era, number):
     joined = join_revision(era, number)
     assert split_revision(joined) == (era, number)
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -25,7 +25,7 @@
     values = {
         "target": _TARGET,
         "account": "lannoy",
-        "patience": 1.5,
+        "timeout": 1.5,
         "priority": 3,
         **changes,
     }
@@ -36,8 +36,8 @@
     marks = headers.read_caller(_CALLER)
     assert marks.request == "abc"
     assert marks.key == "k1"
-    assert marks.patience == 20.0
-    assert (marks.prompt_tokens, marks.most_tokens) == (760, 80)
+    assert marks.timeout == 20.0
+    assert (marks.prompt_tokens, marks.max_answer_tokens) == (760, 80)
     assert headers.read_caller([(b"authorization", b"Basic k1")]).key == ""
 
 
--- a/tests/platform/test_routes.py
+++ b/tests/platform/test_routes.py
@@ -44,7 +44,7 @@
 def test_shares_follow_weights():
     route = read_routes(samples.CONFIGURATION).routes[0]
     rng = random.Random(1)
-    drawn = [route.draw_service(rng) for _ in range(2000)]
+    drawn = [route.choose_service(rng) for _ in range(2000)]
     assert 0.87 < drawn.count("llm") / len(drawn) < 0.93
 
 
@@ -52,8 +52,10 @@
     shape = read_routes(samples.CONFIGURATION).services["llm"].model
     assert shape.layers == 80
     # 72,000 MB less 40 layers of 1,750, over 1.18 MB / 80 a token-layer.
-    assert shape.count_room("h100", 40) == pytest.approx(135_593, rel=1e-3)
-    assert shape.count_room("l4", 13) == 0.0
+    assert shape.compute_capacity("h100", 40) == pytest.approx(
+        135_593, rel=1e-3
+    )
+    assert shape.compute_capacity("l4", 13) == 0.0
 
 
 def test_how_an_engine_reads_prompts_may_be_told_or_not():
--- a/tests/routing/test_candidates.py
+++ b/tests/routing/test_candidates.py
@@ -71,7 +71,7 @@
     """
     world = _World()
     world.add("i-1", layers=(0, 8))
-    total = _SHAPE.count_room("l4", 8)
+    total = _SHAPE.compute_capacity("l4", 8)
     world.loads.take_others("e-2", {"i-1": TargetLoad(3, 1000.0)}, 0)
     [option] = world.candidates.list_options("llm", _SHAPE)
     assert option.room == total - 1000.0
