--- a/magnoliacove/platform/__init__.py
+++ b/magnoliacove/platform/__init__.py
@@ -1,4 +1,4 @@
-"""What the platform offers: its object API."""
+"""Adapter to the users' platform: its object API and data formats."""
 
 from magnoliacove.platform.api import CompactedError
 from magnoliacove.platform.api import Listing
--- a/magnoliacove/platform/api.py
+++ b/magnoliacove/platform/api.py
@@ -1,4 +1,4 @@
-"""The platform's object API as this project sees it."""
+"""Interface to the platform's object API."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -17,13 +17,14 @@
 
 
 class VersionConflictError(errors.Error):
-    """An object's version is not the one that the write was based on."""
+    """An object's version differs from the one the write is based on."""
 
 
 class CompactedError(errors.Error):
-    """A watch asks for changes that the platform does not hold.
+    """A watch asks for changes that the platform no longer has.
 
-    It dropped them, or it came back from a copy that is older than they are.
+    The platform has discarded them, or it was restored from a snapshot that
+    is older than they are.
     """
 
 
@@ -31,9 +32,9 @@
 class Record:
     """One object of the platform.
 
-    :param version: grows with each write of the object, also after the
-        store came back from a copy; 0 stands for an object that does not
-        exist.
+    :param version: increases with each write of the object, also across a
+        restore of the store from an older snapshot; 0 if the object does
+        not exist.
     """
 
     name: str
@@ -43,7 +44,7 @@
 
 @dataclass(frozen=True)
 class Listing:
-    """The objects under a prefix, at one revision of the whole store."""
+    """The objects under a prefix at one revision of the whole store."""
 
     records: tuple[Record, ...]
     revision: int
@@ -51,39 +52,40 @@
 
 @dataclass(frozen=True)
 class WatchEvent:
-    """One write; ``record.version`` is 0 when the object was deleted."""
+    """One write; ``record.version`` is 0 if the object was deleted."""
 
     revision: int
     record: Record
 
 
 class ObjectApi(Protocol):
-    """Versions, conditional updates and watches.
+    """An object store with versions, conditional writes and watches.
 
-    Versions and revisions hold the era of the store, see
-    :mod:`magnoliacove.platform.eras`.  One of a former era is the version
-    of nothing: a write that names it conflicts, a watch finds it compacted.
+    Versions and revisions include the era of the store, see
+    :mod:`magnoliacove.platform.eras`.  A version from an earlier era is
+    never valid: a conditional write that uses it raises a conflict, and a
+    watch that starts from it is reported as compacted.
 
-    :param era: the era that this process has heard of.
+    :param era: the newest era that this process has received.
 
-    Each method raises :class:`magnoliacove.errors.PlatformError` when the
-    platform does not answer; its outcome tells whether a write may have
-    taken effect.
+    Each method raises :class:`magnoliacove.errors.PlatformError` if the
+    platform does not answer; the error's outcome states whether a write may
+    have taken effect.
     """
 
     era: StoreEra
 
     async def get(self, name: str) -> Record | None:
-        """Return an object, or None when there is none."""
+        """Return an object, or None if it does not exist."""
 
     async def list_records(
         self, prefix: str, *, stale: bool = False
     ) -> Listing:
         """Return the objects whose names start with a prefix.
 
-        :param prefix: begins with the kind and a slash.
-        :param stale: an answer that is some seconds old will do; it is
-            cheaper and does not count against the store's rate.
+        :param prefix: starts with the kind and a slash.
+        :param stale: accept an answer that is some seconds old, which is
+            cheaper and does not count against the store's rate limit.
         """
 
     async def put(
@@ -91,15 +93,15 @@
     ) -> int:
         """Write an object and return its version.
 
-        :param if_version: the version that the object must have; 0 when
-            it must not exist, None to write in any case.
-        :raises VersionConflictError: when it has another version.
+        :param if_version: the version that the object must have; 0 if it
+            must not exist, None to write unconditionally.
+        :raises VersionConflictError: if the object has another version.
         """
 
     async def delete(self, name: str, if_version: int | None = None) -> None:
-        """Delete an object, if it has the given version.
+        """Delete an object if it has the given version.
 
-        :raises VersionConflictError: when it has another version.
+        :raises VersionConflictError: if the object has another version.
         """
 
     async def watch(
@@ -108,7 +110,8 @@
         """Wait for writes under a prefix after a revision.
 
         :param timeout: seconds to wait for the first write.
-        :returns: the writes in order, none at the timeout, and the
+        :returns: the writes in order (empty after a timeout) and the
             revision to watch from next.
-        :raises CompactedError: when the revision is too old.
+        :raises CompactedError: if the platform no longer has the changes
+            after the revision.
         """
--- a/magnoliacove/platform/client.py
+++ b/magnoliacove/platform/client.py
@@ -1,7 +1,7 @@
-"""The platform's object store over HTTP: the one client for it.
+"""HTTP client of the platform's object store.
 
-An object is named ``KIND/NAME`` here.  The store keeps JSON; what is not
-JSON lies in it as base64 text.
+Objects are named ``KIND/NAME``.  The store keeps JSON values; other values
+are stored as base64 text.
 """
 
 import base64
@@ -25,19 +25,20 @@
 __all__ = ["HttpObjectApi"]
 
 _OBJECTS = "/v1/objects/"
-# Each answer says in which era the store is: how often it came back from a
-# copy.
-_ERA = b"store-era"
+# The header with which each answer reports the store's era, the number of
+# times that the store was restored from an older snapshot.
+_ERA_HEADER = b"store-era"
 _SOURCE = "the platform's store"
-# The longest wait of a watch that the store takes, in seconds.
-_MOST_WAIT = 30.0
+# Seconds; the longest wait that the store accepts for a watch.
+_MAX_WATCH_WAIT = 30.0
 
 
 class HttpObjectApi:
-    """Speaks to the platform's object store.
+    """Client of the platform's object store.
 
     :param url: for example ``http://10.0.0.2:8500``.
-    :param timeout: seconds for a connection, a write and an answer.
+    :param timeout: seconds allowed for each of connecting, sending the
+        request and reading the answer.
     """
 
     def __init__(
@@ -52,7 +53,7 @@
         self.era = StoreEra()
 
     async def get(self, name: str) -> api.Record | None:
-        """Return an object, or None when there is none."""
+        """Return an object, or None if it does not exist."""
         status, data = await self._call("GET", _path(name))
         return None if status == 404 else self._read(_kind(name), data)
 
@@ -64,14 +65,16 @@
         listing = None
         while listing is None:
             listing = await self._list_kind(kind, stale)
-        found = (r for r in listing.records if _tail(r.name).startswith(start))
-        return api.Listing(tuple(found), listing.revision)
+        matching = (
+            r for r in listing.records if _local_name(r.name).startswith(start)
+        )
+        return api.Listing(tuple(matching), listing.revision)
 
     async def _list_kind(self, kind: str, stale: bool) -> api.Listing | None:
         """Return the objects of a kind.
 
-        :returns: None when the store came back from a copy between two
-            pages, which then belong to different histories.
+        :returns: None if the store was restored from an older snapshot
+            between two pages, which then belong to different histories.
         """
         records: list[api.Record] = []
         after, revision, era = "", 0, 0
@@ -86,8 +89,9 @@
             era = self.era.number
             if status == 404:
                 return api.Listing((), revision or self.era.join(0))
-            # The first page's revision: what is written while the others
-            # are read is then seen twice by a watch rather than never.
+            # Use the first page's revision: a later watch then repeats the
+            # writes made while the other pages were read instead of
+            # missing them.
             revision = revision or self.era.join(int(data["as_of"]))
             items = data["items"]
             records += self._read_all(kind, items)
@@ -112,7 +116,7 @@
         return await self._create(name, value)
 
     async def delete(self, name: str, if_version: int | None = None) -> None:
-        """Delete an object, if it has the given version."""
+        """Delete an object if it has the given version."""
         path = _path(name)
         self._check_condition(name, if_version)
         if if_version is not None:
@@ -127,7 +131,7 @@
     ) -> tuple[tuple[api.WatchEvent, ...], int]:
         """Wait for writes under a prefix after a revision."""
         kind, _, start = prefix.partition("/")
-        wait = min(timeout, _MOST_WAIT)
+        wait = min(timeout, _MAX_WATCH_WAIT)
         self._check_watched(after)
         number = split_revision(after)[1]
         query = urlencode({"watch": number, "wait_ms": int(wait * 1000)})
@@ -141,7 +145,11 @@
         )
         revision = self.era.join(int(data["as_of"]))
         return (
-            tuple(e for e in events if _tail(e.record.name).startswith(start)),
+            tuple(
+                e
+                for e in events
+                if _local_name(e.record.name).startswith(start)
+            ),
             revision,
         )
 
@@ -161,23 +169,24 @@
     def _read_all(
         self, kind: str, items: Iterable[Any]
     ) -> Iterator[api.Record]:
-        """Decode a list of objects, without those that have no name."""
+        """Decode a list of objects, skipping those without a name."""
         return (self._read(kind, item) for item in items if _is_named(item))
 
     def _read_event(self, kind: str, data: dict[str, Any]) -> api.WatchEvent:
         record = self._read(kind, data["object"])
         if data.get("removed"):
-            gone = api.Record(record.name, 0, b"")
-            return api.WatchEvent(record.version, gone)
+            deleted = api.Record(record.name, 0, b"")
+            return api.WatchEvent(record.version, deleted)
         return api.WatchEvent(record.version, record)
 
     def _check_condition(self, name: str, version: int | None) -> None:
-        """Check that a version which a write names is of the present era.
+        """Check that the version a write depends on is of the current era.
 
-        Asked before the write and again after its answer, which may be the
-        first to tell that the store came back from a copy.
+        The check runs before the write and again after its answer, because
+        that answer may be the first to report that the store was restored
+        from an older snapshot.
 
-        :raises VersionConflictError: when it is of a former era.
+        :raises VersionConflictError: if the version is of an earlier era.
         """
         if version and not self.era.is_current(version):
             raise api.VersionConflictError(
@@ -193,15 +202,19 @@
             )
 
     def _note_era(self, headers: Iterable[tuple[bytes, bytes]]) -> None:
-        """Take the era that an answer tells.
+        """Record the era that an answer reports.
+
+        An answer without a valid era is accepted as it is.
 
-        :raises magnoliacove.errors.PlatformError: when it is a former one;
-            the answer was long on its way, and what it says is void.
+        :raises magnoliacove.errors.PlatformError: if it is an earlier era;
+            the answer was delayed and its content is no longer valid.
         """
-        told = [value for name, value in headers if name.lower() == _ERA]
-        if not told or not told[0].isdigit() or int(told[0]) > MAX_ERA:
+        values = [
+            value for name, value in headers if name.lower() == _ERA_HEADER
+        ]
+        if not values or not values[0].isdigit() or int(values[0]) > MAX_ERA:
             return
-        if not self.era.note(int(told[0]), _SOURCE):
+        if not self.era.note(int(values[0]), _SOURCE):
             raise errors.PlatformError(
                 "the object API's answer is from before it came back from a "
                 "copy",
@@ -230,25 +243,25 @@
             )
             self._note_era(response.headers)
             data = _load(response.content or b"null")
-        except (httpcore.ConnectError, httpcore.ConnectTimeout) as why:
+        except (httpcore.ConnectError, httpcore.ConnectTimeout) as exc:
             raise errors.PlatformError(
                 f"the object API at {self._url} cannot be reached",
                 errors.Outcome.NOT_RUN,
-            ) from why
+            ) from exc
         except (
             httpcore.NetworkError,
             httpcore.TimeoutException,
             httpcore.ProtocolError,
             ValueError,
-        ) as why:
-            # The answer is lost, not the write: the platform may have
-            # carried it out.  Saying "not run" here would let the caller
-            # apply a change twice.
+        ) as exc:
+            # Only the answer is lost: the platform may have executed the
+            # write.  Reporting it as not run would let the caller apply a
+            # change twice.
             raise errors.PlatformError(
                 f"the object API at {self._url} gave no answer to "
                 f"{method} {path}",
                 errors.Outcome.MAY_HAVE_RUN,
-            ) from why
+            ) from exc
         _check(response.status, data)
         return response.status, data
 
@@ -276,19 +289,22 @@
     return name.partition("/")[0]
 
 
-def _tail(name: str) -> str:
+def _local_name(name: str) -> str:
     return name.partition("/")[2]
 
 
 def _path(name: str) -> str:
-    return f"{_OBJECTS}{quote(_kind(name))}/{quote(_tail(name), safe='')}"
+    return (
+        f"{_OBJECTS}{quote(_kind(name))}/{quote(_local_name(name), safe='')}"
+    )
 
 
 def _load(content: bytes) -> Any:
-    """Decode an answer, of which one value may hold bytes that are no text.
+    """Decode an answer in which a value may contain invalid UTF-8.
 
-    Anybody may have written that value.  The others must still be read, or
-    nothing of a whole kind is known any more.
+    Any client of the store may have written that value.  The other values
+    must remain readable; otherwise one such value hides all objects of its
+    kind.
     """
     try:
         return orjson.loads(content)
@@ -308,7 +324,7 @@
         try:
             value = base64.b64decode(spec, validate=True)
         except ValueError:
-            # Text that is no base64; another writer's.
+            # Text that is not base64, written by another client.
             value = spec.encode()
     else:
         value = orjson.dumps(spec)
@@ -316,7 +332,7 @@
 
 
 def _write_object(name: str, value: bytes, version: int | None) -> bytes:
-    meta: dict[str, Any] = {"name": _tail(name)}
+    meta: dict[str, Any] = {"name": _local_name(name)}
     if version is not None:
         meta["revision"] = split_revision(version)[1]
     try:
--- a/magnoliacove/platform/engines.py
+++ b/magnoliacove/platform/engines.py
@@ -1,4 +1,4 @@
-"""Reports and orders of model engines."""
+"""Decoding of model engines' reports and encoding of orders to them."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -34,9 +34,9 @@
 
 @dataclass(frozen=True)
 class StalledRequest:
-    """A request that waits for a lost engine.
+    """A request that waits for an unreachable engine.
 
-    :param address: the engine that it waits for.
+    :param address: the address of that engine.
     """
 
     request: str
@@ -45,19 +45,19 @@
 
 @dataclass(frozen=True)
 class EngineReport:
-    """What an engine says of itself.
+    """The status that an engine reports.
 
-    :param layers: what it holds and serves.
+    :param layers: the layers that it has loaded and serves.
     :param loading: whether an order is in progress.
-    :param orders: how many orders it has begun since its start.
-    :param running: requests in progress, as the first engine of a path.
+    :param orders: number of orders that it has begun since its start.
+    :param running: requests in progress whose path starts at this engine.
     :param waiting: requests in its queue.
-    :param used: token-layers of memory that cannot be given up.
-    :param total: token-layers of memory for requests.
-    :param slowness: 1 for usual speed, more when it is slow.
-    :param stalled: requests that wait for a lost engine.
-    :param incarnation: milliseconds of its start since 1970, 0 when the
-        engine does not tell.
+    :param used: token-layers of memory that cannot be reclaimed.
+    :param total: token-layers of memory available to requests.
+    :param slowness: 1 at normal speed, more if the engine is slower.
+    :param stalled: requests that wait for an unreachable engine.
+    :param incarnation: the engine's start time in milliseconds since 1970,
+        0 if the engine does not report it.
     """
 
     layers: LayerRange | None
@@ -73,7 +73,7 @@
 
 
 class OrderResult(enum.StrEnum):
-    """What an engine answered to an order."""
+    """An engine's answer to an order."""
 
     BEGUN = "begun"
     DONE = "done"
@@ -84,14 +84,14 @@
 def read_report(body: bytes) -> EngineReport:
     """Decode a report.
 
-    :raises magnoliacove.errors.ProtocolError: when it is none.
+    :raises magnoliacove.errors.ProtocolError: if it is malformed.
     """
     try:
         fields = Fields(orjson.loads(body), "an engine's report")
-    except ValueError as why:
+    except ValueError as exc:
         raise errors.ProtocolError(
-            f"an engine's report is not JSON: {why}"
-        ) from why
+            f"an engine's report is not JSON: {exc}"
+        ) from exc
     return EngineReport(
         layers=read_layers(fields),
         loading=fields.flag("busy"),
@@ -112,12 +112,12 @@
 def write_place_order(
     layers: LayerRange, *, interrupt: bool, orders: int | None
 ) -> bytes:
-    """Return the body of an order to hold a range of layers.
+    """Return the body of an order to load a range of layers.
 
-    :param interrupt: cut off what passes through layers that are given up
-        instead of waiting for it.
-    :param orders: the order counts only if the engine has begun so many
-        before, or None.
+    :param interrupt: abort the requests that pass through layers to be
+        unloaded instead of waiting for them.
+    :param orders: execute the order only if the engine has begun exactly
+        this number of orders; None for no condition.
     """
     body = {
         "operation": "place",
@@ -126,15 +126,15 @@
         "mode": "preempt" if interrupt else "queue",
     }
     if orders is not None:
-        # An order that is carried out late must not undo a newer one.
+        # A delayed order must not undo a newer one.
         body["precondition"] = orders
     return orjson.dumps(body)
 
 
 def write_reroute_order(request: str, path: Path) -> bytes:
-    """Return the body of an order to go on with a request on another path.
+    """Return the body of an order to continue a request on another path.
 
-    :param path: has the same first stage as the present one.
+    :param path: has the same first stage as the current path.
     """
     return orjson.dumps(
         {"operation": "repath", "id": request, "path": write_path(path)}
@@ -144,16 +144,17 @@
 def reports_leaving(
     status: int, headers: Sequence[tuple[bytes, bytes]], name: str
 ) -> bool:
-    """Return whether the answer of a health check says that it leaves.
+    """Return whether a health check's answer reports that an engine leaves.
 
-    :param name: the engine; another one may have its address by now.
+    :param name: the engine's name; its address may have been assigned to
+        another engine in the meantime.
     """
     instance = dict(headers).get(b"x-instance-id", b"").decode("latin-1")
     return status == _UNAVAILABLE and instance in ("", name)
 
 
 def read_order_result(status: int) -> OrderResult:
-    """Return what the status of an order's answer means."""
+    """Return the result that an answer's status code stands for."""
     if status == 202:
         return OrderResult.BEGUN
     if status == 200:
--- a/magnoliacove/platform/eras.py
+++ b/magnoliacove/platform/eras.py
@@ -1,75 +1,79 @@
-"""Revisions of a store that may come back from an older copy of itself.
-
-The store counts its changes.  Once it came back from a copy it gives the
-numbers after that copy out again, for other changes, so a number means
-nothing without the era in which it was given.  Inside this program a revision
-is one number of both: the era above, the store's own number below.  The order
-of such numbers is that of the changes, in all eras.
+"""Revisions of a store that may be restored from an older snapshot.
+
+The store numbers its changes.  After a restore it assigns the numbers that
+follow the snapshot again, to other changes, so a number is ambiguous without
+the era in which it was assigned.  Inside this program a revision is a single
+number that combines both: the era in the upper bits and the store's own
+number in the lower ones.  Such revisions sort in the order of the changes,
+across all eras.
 """
 
 from collections.abc import Callable
 
 __all__ = ["MAX_ERA", "StoreEra", "join_revision", "split_revision"]
 
-# The store's own number takes the lower 40 bits, which are enough for ten
-# years at 3,000 changes a second.  What peers send each other has 63 bits.
-_NUMBERS = 1 << 40
+# The store's own number takes the lower 40 bits, enough for ten years at
+# 3,000 changes a second.  The messages between peers have 63 bits for a
+# revision, which leaves 23 bits for the era.
+_NUMBERS_PER_ERA = 1 << 40
 MAX_ERA = (1 << 23) - 1
 
 
 def join_revision(era: int, number: int) -> int:
-    """Return the revision that the store gave in an era."""
-    return era * _NUMBERS + number
+    """Return the revision for a number that the store assigned in an era."""
+    return era * _NUMBERS_PER_ERA + number
 
 
 def split_revision(revision: int) -> tuple[int, int]:
     """Return the era of a revision and the store's own number."""
-    return divmod(revision, _NUMBERS)
+    return divmod(revision, _NUMBERS_PER_ERA)
 
 
 class StoreEra:
-    """The newest era of the store that one process has heard of.
+    """The newest era of the store that this process has received.
 
-    :param number: 0 for a store that tells none.
+    :param number: 0 if the store reports no era.
     """
 
     def __init__(self) -> None:
         self.number = 0
-        self._known = False
+        self._received = False
         self._listeners: list[Callable[[int, str], None]] = []
 
     def listen(self, listener: Callable[[int, str], None]) -> None:
-        """Call a function with each newer era, and who told of it.
+        """Call a function with each newer era and the source reporting it.
 
-        It is called once an era.  The first era that a process hears of is
-        no news to it, since it knows nothing from an earlier one.
+        The function is called once per era.  It is not called for the first
+        era that the process receives, because the process has no state from
+        an earlier one.
         """
         self._listeners.append(listener)
 
     def note(self, number: int, source: str) -> bool:
-        """Take it that the store, or a peer, is in an era.
+        """Record that the store or a peer reports an era.
 
-        :returns: whether that is the newest one; what was said in an older
-            one is void.
+        :returns: whether it is the newest era; data from an older era is
+            not valid.
         """
-        if self._known and number <= self.number:
+        if self._received and number <= self.number:
             return number == self.number
-        news, self._known = self._known, True
+        changed, self._received = self._received, True
         self.number = number
-        if news:
+        if changed:
             for listener in self._listeners:
                 listener(number, source)
         return True
 
     def join(self, number: int) -> int:
-        """Return a revision that the store gave just now."""
+        """Return the revision for a number assigned in the current era."""
         return join_revision(self.number, number)
 
     def is_current(self, revision: int) -> bool:
-        """Return whether a revision was given in the present era.
+        """Return whether a revision was assigned in the current era.
 
-        The store compares its own numbers only.  One from before it came
-        back from a copy may fit by accident, as numbers are given out again:
-        a write would take the place of one that its writer never saw.
+        The store compares only its own numbers and reuses them after a
+        restore from an older snapshot.  A number from before the restore may
+        match by accident, and a write would then overwrite a change that its
+        writer never read.
         """
         return split_revision(revision)[0] == self.number
--- a/magnoliacove/platform/fields.py
+++ b/magnoliacove/platform/fields.py
@@ -1,4 +1,4 @@
-"""Reading values out of decoded JSON, with errors that name the field."""
+"""Typed access to decoded JSON, with errors that name the field."""
 
 from collections.abc import Mapping
 import math
@@ -10,15 +10,17 @@
 
 
 class Fields:
-    """One JSON object whose fields are read with their types checked.
+    """A JSON object whose fields are type-checked when they are read.
 
-    :param where: what the object is, for messages, as ``route r-1``.
+    :param where: describes the object in error messages, for example
+        ``route r-1``.
     """
 
     def __init__(self, values: Any, where: str) -> None:
         if not isinstance(values, Mapping):
             raise errors.ProtocolError(
-                f"{where} is not a JSON object; check what wrote it"
+                f"{where} is not a JSON object; check the program that "
+                "wrote it"
             )
         self.where = where
         self._values = values
@@ -28,11 +30,11 @@
         return str(self._get(name, str, default))
 
     def flag(self, name: str, default: bool = False) -> bool:
-        """Return true or false."""
+        """Return a Boolean."""
         return bool(self._get(name, bool, default))
 
     def integer(self, name: str, default: int | None = None) -> int:
-        """Return a whole number."""
+        """Return an integer."""
         value = self._get_number(name, default)
         if not float(value).is_integer():
             raise self._reject(name, value)
@@ -43,7 +45,7 @@
         return float(self._get_number(name, default))
 
     def seconds(self, name: str, default_ms: float | None = None) -> float:
-        """Return seconds from a field that counts milliseconds."""
+        """Return the value in seconds of a field in milliseconds."""
         return self.number(name, default_ms) / 1000
 
     def objects(self, name: str) -> list["Fields"]:
@@ -57,14 +59,14 @@
         return tuple(str(item) for item in self._get(name, (list, tuple), []))
 
     def object(self, name: str) -> "Fields | None":
-        """Return an object, or None when there is none."""
+        """Return an object, or None if the field is missing or null."""
         value = self._values.get(name)
         if value is None:
             return None
         return Fields(value, f"{self.where}, {name}")
 
     def has(self, name: str) -> bool:
-        """Return whether a field holds a value."""
+        """Return whether a field is present and not null."""
         return self._values.get(name) is not None
 
     def _get(self, name: str, kinds: Any, default: Any) -> Any:
@@ -81,13 +83,13 @@
 
     def _get_number(self, name: str, default: float | None) -> int | float:
         value: int | float = self._get(name, (int, float), default)
-        # True and false are whole numbers to the language.
+        # In Python bool is a subclass of int.
         if isinstance(value, bool) or not math.isfinite(value):
             raise self._reject(name, value)
         return value
 
     def _reject(self, name: str, value: Any) -> errors.ProtocolError:
         return errors.ProtocolError(
-            f"{self.where} has {value!r:.60} in field {name!r}, which is of "
-            "another type; correct the field"
+            f"{self.where} has {value!r:.60} in field {name!r}, which is not "
+            "of the expected type; correct the field"
         )
--- a/magnoliacove/platform/headers.py
+++ b/magnoliacove/platform/headers.py
@@ -1,4 +1,4 @@
-"""The header names that callers and engines use, and their formats."""
+"""Names and formats of the HTTP headers of callers and engines."""
 
 from collections.abc import Iterable
 from collections.abc import Sequence
@@ -38,10 +38,10 @@
 _FAULTY = b"at-server"
 _RETRY_AFTER = b"retry-after"
 _KEY_SCHEME = b"token"
-# Priorities that engines know; 0 goes first.
+# Engines accept priorities from 0, the most urgent, to this one.
 _LOWEST_PRIORITY = 9
 
-# These concern one connection only.
+# Headers that apply to a single connection and are not forwarded.
 _HOP_BY_HOP = frozenset(
     [
         b"connection",
@@ -56,8 +56,8 @@
         b"expect",
     ]
 )
-# What the system sets itself, whatever a caller sent.
-_OURS = frozenset(
+# Headers that the gateway sets itself; a caller's values are discarded.
+_SET_BY_GATEWAY = frozenset(
     [
         _DEADLINE,
         _TENANT,
@@ -74,15 +74,18 @@
 
 @dataclass(frozen=True)
 class CallerHeaders:
-    """What a caller's headers say.
+    """The decoded headers of a caller's request.
 
     :param request: the id of this attempt of the caller.
     :param key: the API key, or "".
-    :param patience: seconds that the caller waits, or None.
-    :param last_event: the last event that the caller has, or "".
-    :param prompt_tokens: the length of a prompt, 0 when unknown.
-    :param most_tokens: the most tokens that the answer may have.
-    :param likely_tokens: the caller's estimate of the answer's length.
+    :param timeout: seconds that the caller waits, or None.
+    :param last_event: the id of the last event that the caller received,
+        or "".
+    :param prompt_tokens: length of the prompt in tokens, 0 if unknown.
+    :param max_answer_tokens: maximum length of the answer in tokens, 0 if
+        unknown.
+    :param expected_tokens: the caller's estimate of the answer's length in
+        tokens, 0 if unknown.
     """
 
     request: str
@@ -96,15 +99,16 @@
 
 @dataclass(frozen=True)
 class AnswerHeaders:
-    """What a target's headers say.
+    """The decoded headers of a target's answer.
 
     :param request: the id of the request that is answered, or "".
-    :param stamped: the answer proves that a target gave it.
-    :param not_run: the target says that the request did not run.
-    :param faulty: the address of the engine at fault, or "".
-    :param running: requests that run there, or None when not told.
-    :param waiting: requests that wait there.
-    :param slots: how many may run there.
+    :param stamped: whether the answer carries the stamp that proves that a
+        target sent it.
+    :param not_run: whether the target reports that the request did not run.
+    :param faulty: the address of the engine that failed, or "".
+    :param running: requests running at the target, or None if not reported.
+    :param waiting: requests queued at the target.
+    :param slots: maximum number of requests running at the target.
     """
 
     request: str
@@ -120,7 +124,7 @@
     """Decode a caller's headers."""
     values = dict(headers)
     scheme, _, key = values.get(_AUTHORIZATION, b"").partition(b" ")
-    prompt, _, most = values.get(_TOKENS, b"").partition(b",")
+    prompt, _, max_answer = values.get(_TOKENS, b"").partition(b",")
     timeout = _read_count(values.get(_DEADLINE, b""))
     return CallerHeaders(
         request=values.get(_REQUEST_ID, b"").decode("latin-1"),
@@ -130,13 +134,13 @@
         timeout=timeout / 1000 if timeout is not None else None,
         last_event=values.get(_LAST_EVENT, b"").decode("latin-1"),
         prompt_tokens=_read_count(prompt) or 0,
-        max_answer_tokens=_read_count(most) or 0,
+        max_answer_tokens=_read_count(max_answer) or 0,
         expected_tokens=_read_count(values.get(_LENGTH_HINT, b"")) or 0,
     )
 
 
 def read_request_id(headers: Headers) -> str:
-    """Return the id of the request that a target answers, or ""."""
+    """Return the id of the request that an answer belongs to, or ""."""
     return dict(headers).get(_REQUEST_ID, b"").decode("latin-1")
 
 
@@ -144,15 +148,15 @@
     """Decode a target's headers."""
     values = dict(headers)
     load = [_read_count(p) for p in values.get(_LOAD, b"").split(b",")]
-    known = len(load) == 3 and None not in load
+    valid = len(load) == 3 and None not in load
     return AnswerHeaders(
         request=read_request_id(headers),
         stamped=_STAMP in values,
         not_run=_NOT_RUN in values or status == 421,
         faulty=values.get(_FAULTY, b"").decode("latin-1"),
-        running=load[0] if known else None,
-        waiting=load[1] or 0 if known else 0,
-        slots=load[2] or 0 if known else 0,
+        running=load[0] if valid else None,
+        waiting=load[1] or 0 if valid else 0,
+        slots=load[2] or 0 if valid else 0,
     )
 
 
@@ -167,12 +171,12 @@
     path: Path | None = None,
     body_length: int = 0,
 ) -> list[tuple[bytes, bytes]]:
-    """Return the headers for a target.
+    """Return the headers of a request to a target.
 
-    :param headers: the caller's.
-    :param patience: seconds that are left.
+    :param headers: the caller's headers.
+    :param timeout: seconds that remain for the request.
     """
-    dropped = _HOP_BY_HOP | _OURS | _list_named(headers)
+    dropped = _HOP_BY_HOP | _SET_BY_GATEWAY | _list_named(headers)
     kept = [(n, v) for n, v in headers if n not in dropped]
     kept += [
         (_DEADLINE, b"%d" % max(1, int(timeout * 1000))),
@@ -191,7 +195,7 @@
 
 
 def copy_answer(headers: Headers) -> list[tuple[bytes, bytes]]:
-    """Return a target's headers without those of its connection."""
+    """Return a target's headers without the hop-by-hop ones."""
     dropped = _HOP_BY_HOP | _list_named(headers)
     return [(n, v) for n, v in headers if n not in dropped]
 
@@ -199,7 +203,7 @@
 def write_refusal(
     request: str, retry_after: float | None
 ) -> list[tuple[bytes, bytes]]:
-    """Return the headers of an answer of our own."""
+    """Return the headers of an answer that the gateway itself gives."""
     headers = [(b"content-type", b"application/json")]
     if request:
         headers.append((_REQUEST_ID, request.encode("latin-1")))
@@ -214,7 +218,7 @@
 
 
 def _list_named(headers: Headers) -> set[bytes]:
-    """Return the headers that ``Connection`` names as its own."""
+    """Return the hop-by-hop headers that ``Connection`` lists."""
     named: set[bytes] = set()
     for name, value in headers:
         if name == b"connection":
--- a/magnoliacove/platform/notices.py
+++ b/magnoliacove/platform/notices.py
@@ -1,4 +1,4 @@
-"""What a target's answer says of the target itself, decoded."""
+"""Decoding of what an answer's headers report about its target."""
 
 from collections.abc import Mapping
 from collections.abc import Sequence
@@ -8,7 +8,7 @@
 
 __all__ = ["read_notice"]
 
-# The requests a second that a target takes from all gateways together.
+# The requests per second that a target accepts from all gateways together.
 _RATE_LIMIT = b"server-limit"
 _LEAVING = b"server-leaving"
 _RETRY_AFTER = b"retry-after"
@@ -19,20 +19,20 @@
 def read_notice(
     status: int, headers: Sequence[tuple[bytes, bytes]]
 ) -> TargetNotice:
-    """Return what an answer says of the target that gave it.
+    """Return what an answer reports about the target that sent it.
 
     :param headers: names in lower case.
     """
     values = dict(headers)
     unreadable: list[str] = []
     rate_limit = _read_number(values, _RATE_LIMIT, unreadable)
-    rest = None
+    back_off = None
     if status == _UNAVAILABLE:
-        rest = _read_number(values, _RETRY_AFTER, unreadable)
+        back_off = _read_number(values, _RETRY_AFTER, unreadable)
     return TargetNotice(
         rate_limit=rate_limit,
         leaving=values.get(_LEAVING, b"").strip() == _YES,
-        rest=rest or 0.0,
+        rest=back_off or 0.0,
         unreadable=", ".join(unreadable),
     )
 
@@ -40,7 +40,10 @@
 def _read_number(
     values: Mapping[bytes, bytes], name: bytes, unreadable: list[str]
 ) -> float | None:
-    """Return a number of 0 or more, None when there is none."""
+    """Return a non-negative number, or None if it is missing or invalid.
+
+    A description of an invalid value is appended to ``unreadable``.
+    """
     if name not in values:
         return None
     text = values[name].decode("latin-1").strip()
@@ -50,5 +53,5 @@
         number = math.nan
     if math.isfinite(number) and number >= 0.0:
         return number
-    unreadable.append(f"{name.decode()} {text!r} is no number")
+    unreadable.append(f"{name.decode()} {text!r} is not a number >= 0")
     return None
--- a/magnoliacove/platform/routes.py
+++ b/magnoliacove/platform/routes.py
@@ -1,4 +1,4 @@
-"""Decoding the operator's configuration into the product's route table."""
+"""Decoding of the operator's configuration into the route table."""
 
 from typing import Any
 
@@ -8,20 +8,22 @@
 
 __all__ = ["CONFIGURATION", "read_routes"]
 
-# The kind and the name of the object that holds the configuration.
+# Kind and name of the object that contains the configuration.
 CONFIGURATION = ("config", "main")
 _IDEMPOTENT, _NON_IDEMPOTENT, _STREAMING = (
     "idempotent",
     "non_idempotent",
     "streaming",
 )
-_NO_GAP_OBJECTIVE_MS = 1000.0
+# Milliseconds; the gap objective of a route that sets none.
+_DEFAULT_GAP_OBJECTIVE_MS = 1000.0
 
 
 def read_routes(spec: Any) -> routes.RouteTable:
     """Decode one version of the configuration.
 
-    :raises magnoliacove.errors.ProtocolError: naming the field.
+    :raises magnoliacove.errors.ProtocolError: if a field is missing or has
+        an invalid value; the message names the field.
     """
     fields = Fields(spec, "the configuration")
     decoded = tuple(_read_route(item) for item in fields.objects("routes"))
@@ -63,7 +65,9 @@
         resumable=fields.flag("resumable"),
         timeout=fields.seconds("timeout_ms"),
         latency_objective=fields.seconds("target_latency_ms", 1000),
-        gap_objective=fields.seconds("target_gap_ms", _NO_GAP_OBJECTIVE_MS),
+        gap_objective=fields.seconds(
+            "target_gap_ms", _DEFAULT_GAP_OBJECTIVE_MS
+        ),
         priority=fields.integer("priority", 5),
         max_attempts=max(1, fields.integer("max_attempts", 1)),
         public=fields.flag("public"),
@@ -91,7 +95,7 @@
 def _read_model(fields: Fields) -> routes.ModelShape:
     models = fields.objects("models")
     usual = fields.object("usual")
-    # What a token takes in memory over all layers, in bytes.
+    # Bytes; the memory of one token in all layers together.
     token_bytes = fields.number("kv_token_bytes")
     return routes.ModelShape(
         layers=fields.integer("layers"),
@@ -99,11 +103,11 @@
         token_mb=token_bytes / 1e6,
         step=fields.seconds("step_ms"),
         step_per_request=fields.seconds("per_seq_ms", 0),
-        # The name says only "per 1,000"; it holds milliseconds.
+        # Milliseconds per 1,000 tokens, although the name omits the unit.
         step_per_kilotoken=fields.seconds("context_per_k", 0),
         prefill_per_second=fields.number("read_per_s"),
         hop_bytes=fields.number("activation_bytes", 0),
-        # The pipe between data centres, not an engine's own link.
+        # The link between data centres, not an engine's own link.
         link_mbps=fields.number("pipe_mbps", 0),
         load=max([m.number("load_time_s", 0) for m in models] or [0.0]),
         parallel_loads=max(1, fields.integer("loads_at_once", 6)),
@@ -111,7 +115,7 @@
         usual_answer=usual.number("answer", 100) if usual else 100,
         slots=fields.integer("slots", 64),
         prefill_chunk=max(1.0, fields.number("chunk", 512)),
-        # Token steps in one pass over all requests, not a distance.
+        # The number of token steps in one pass over all requests.
         steps_per_pass=max(1, fields.integer("stride", 1)),
         accelerators={
             kind.name: kind
--- a/magnoliacove/platform/servers.py
+++ b/magnoliacove/platform/servers.py
@@ -1,4 +1,4 @@
-"""Decoding the list of engines that the platform's store holds."""
+"""Decoding of the engines' entries in the platform's store."""
 
 import ipaddress
 import re
@@ -13,22 +13,24 @@
 
 __all__ = ["SERVERS", "read_incarnation", "read_layers", "read_server"]
 
-# The kind under which engines register themselves, each by its id.
+# The kind under which each engine registers itself by its id.
 SERVERS = "servers"
 _READY = "ready"
 _DRAINING = "draining"
-# What may stand in a header field; the engine's name is sent in one.
+# Characters allowed in a header field, because the engine's name is sent in
+# one.
 _NAME = re.compile(r"[!-~]+")
 
 
 def read_server(record: api.Record) -> listed.ListedTarget:
     """Decode one engine's entry.
 
-    Others may write such entries too.  One that is not as engines write
-    them names no engine: a request that went where it points could be
-    answered by anybody.
+    Other clients may write such entries, too.  An entry that differs from
+    the format that engines write is rejected, because any process could
+    answer a request that is sent to its address.
 
-    :raises magnoliacove.errors.ProtocolError: naming the field.
+    :raises magnoliacove.errors.ProtocolError: if the entry is invalid; the
+        message names the field.
     """
     entry = record.name.partition("/")[2]
     if not _NAME.fullmatch(entry):
@@ -40,8 +42,8 @@
     state = fields.text("state")
     if state not in (_READY, _DRAINING):
         raise errors.ProtocolError(
-            f"{fields.where} has state {state!r:.60}, which no engine is in; "
-            f"use {_READY!r} or {_DRAINING!r}"
+            f"{fields.where} has state {state!r:.60}, which is not an engine "
+            f"state; use {_READY!r} or {_DRAINING!r}"
         )
     incarnation = read_incarnation(fields)
     return listed.ListedTarget(
@@ -59,10 +61,10 @@
 
 
 def read_incarnation(fields: Fields) -> int:
-    """Return when an engine says that it started, 0 when it does not.
+    """Return the start time that an engine reports, or 0 if it does not.
 
-    Its name may outlive it, so this alone tells whether what was known of
-    it still holds.
+    A restarted engine may keep its name, so only the start time shows
+    whether earlier information about the engine is still valid.
     """
     return fields.integer("born", 0)
 
@@ -70,30 +72,32 @@
 def _read_json(value: bytes) -> object:
     try:
         return orjson.loads(value)
-    except ValueError as why:
-        raise errors.ProtocolError(f"it is not JSON: {why}") from why
+    except ValueError as exc:
+        raise errors.ProtocolError(f"the entry is not JSON: {exc}") from exc
 
 
 def _read_address(fields: Fields) -> Address:
     try:
         address = Address.parse(fields.text("address"))
         ipaddress.ip_address(address.host)
-    except (errors.UserError, ValueError) as why:
+    except (errors.UserError, ValueError) as exc:
         raise errors.ProtocolError(
-            f"{fields.where}, address: {why}; write it as 10.0.0.5:7000"
-        ) from why
+            f"{fields.where}, address: {exc}; write it as 10.0.0.5:7000"
+        ) from exc
     return address
 
 
 def read_layers(fields: Fields) -> listed.LayerRange | None:
-    """Return the layers that an engine says it holds, or None."""
-    held = fields.object("layers")
-    if held is None or not held.has("to"):
+    """Return the layers that an engine reports as loaded, or None."""
+    layers = fields.object("layers")
+    if layers is None or not layers.has("to"):
         return None
     # The field "to" is one past the last layer.
-    found = listed.LayerRange(held.integer("from"), held.integer("to"))
-    if found.first < 0:
+    layer_range = listed.LayerRange(
+        layers.integer("from"), layers.integer("to")
+    )
+    if layer_range.first < 0:
         raise errors.ProtocolError(
-            f"{held.where} begins before the first layer; correct 'from'"
+            f"{layers.where} begins before the first layer; correct 'from'"
         )
-    return found if found.count > 0 else None
+    return layer_range if layer_range.count > 0 else None
--- a/magnoliacove/platform/settings.py
+++ b/magnoliacove/platform/settings.py
@@ -1,7 +1,7 @@
 """The settings file that the platform writes for each process.
 
-The deploy file's template renders every field as one JSON document, so no
-further format is needed.
+The template in the deployment file renders all fields as one JSON document,
+so the settings need no other format.
 """
 
 from dataclasses import dataclass
@@ -17,14 +17,14 @@
 
 @dataclass(frozen=True)
 class Bounds:
-    """What the platform expects of a process; times in seconds.
+    """Limits that the platform sets for a process; times in seconds.
 
-    :param drain: how long a leaving target may still be sent requests.
-    :param grace: from SIGTERM to SIGKILL.
-    :param retry_ratio: repeats allowed for each request, fleet-wide.
-    :param retry_slack: repeats allowed beyond the ratio in one window.
+    :param drain: how long requests may still be sent to a leaving target.
+    :param grace: time between SIGTERM and SIGKILL.
+    :param retry_ratio: fleet-wide ratio of retries to requests.
+    :param retry_slack: retries allowed beyond the ratio in one window.
     :param retry_window: length of that window.
-    :param stall: how long an engine holds work for a lost stage.
+    :param stall: how long an engine keeps work for an unreachable stage.
     """
 
     drain: float
@@ -37,14 +37,16 @@
 
 @dataclass(frozen=True)
 class NodeSettings:
-    """Who this process is and where it listens.
-
-    :param callers: where callers connect.
-    :param readiness: where the balancer asks whether to send callers.
-    :param peer_port: the port on which our processes talk to each other;
-        it is the same on all instances.
-    :param seeds: instances that may know the others; may be stale.
-    :param store: the platform's object store.
+    """Identity and addresses of this process.
+
+    :param callers: the address to which callers connect.
+    :param readiness: the address at which the load balancer checks whether
+        to send callers to this process.
+    :param peer_port: the port for connections between magnoliacove
+        processes; it is the same on all instances.
+    :param seeds: addresses of instances that may know the other ones; some
+        may be out of date.
+    :param store: the address of the platform's object store.
     :param first_start: whether the whole system starts for the first time.
     """
 
@@ -63,23 +65,24 @@
 def read_settings(path: str) -> NodeSettings:
     """Read and check the settings file.
 
-    :raises magnoliacove.errors.UserError: naming the file and the field.
+    :raises magnoliacove.errors.UserError: if it cannot be read or is
+        invalid; the message names the file and the field.
     """
     try:
         data = json.loads(pathlib.Path(path).read_text(encoding="utf-8"))
         return _decode(Fields(data, f"settings file {path}"))
-    except OSError as why:
+    except OSError as exc:
         raise errors.UserError(
-            f"settings file {path} cannot be read: {why.strerror}; set "
+            f"settings file {path} cannot be read: {exc.strerror}; set "
             "--settings (MAGNOLIACOVE_NODE_FILE) to a file that exists"
-        ) from why
-    except ValueError as why:
+        ) from exc
+    except ValueError as exc:
         raise errors.UserError(
-            f"settings file {path} is not JSON: {why}; check the template "
+            f"settings file {path} is not JSON: {exc}; check the template "
             "in deploy/settings.json"
-        ) from why
-    except errors.ProtocolError as why:
-        raise errors.UserError(str(why)) from why
+        ) from exc
+    except errors.ProtocolError as exc:
+        raise errors.UserError(str(exc)) from exc
 
 
 def _decode(fields: Fields) -> NodeSettings:
@@ -89,8 +92,8 @@
     ports = fields.texts("internal_ports")
     if not ports:
         raise errors.UserError(
-            f"{fields.where} has no internal_ports; processes need one "
-            "port to talk to each other"
+            f"{fields.where} has no internal_ports; set at least one "
+            "port for connections between processes"
         )
     peer_port = int(ports[0])
     return NodeSettings(
@@ -100,8 +103,8 @@
         callers=Address.parse(listen.text("front")),
         readiness=Address.parse(listen.text("ready_addr")),
         peer_port=peer_port,
-        # A seed is named by the address of its control port; our own
-        # protocol listens on the peer port of the same instance.
+        # The platform gives a seed's control port; the peer protocol uses
+        # the peer port of the same instance.
         seeds=tuple(
             Address(Address.parse(text).host, peer_port)
             for text in fields.texts("seeds")
@@ -124,7 +127,7 @@
 
 
 def _require(fields: Fields, name: str) -> Fields:
-    found = fields.object(name)
-    if found is None:
-        raise errors.UserError(f"{fields.where} has no table {name!r}")
-    return found
+    value = fields.object(name)
+    if value is None:
+        raise errors.UserError(f"{fields.where} has no object {name!r}")
+    return value
