--- a/magnoliacove/configuration/__init__.py
+++ b/magnoliacove/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""The configuration: its objects, its versions, its journal."""
+"""The configuration's objects, versions and journal."""
 
 from typing import TYPE_CHECKING
 
--- a/magnoliacove/configuration/document.py
+++ b/magnoliacove/configuration/document.py
@@ -1,7 +1,7 @@
-"""The whole configuration at one version, and the changes between two.
+"""The whole configuration at one version and the changes between versions.
 
-Versions have no gaps and each change names the digest of the version that
-it follows, so two processes on the same version hold the same document.
+Versions have no gaps and each change contains the digest of the version that
+it follows, so two processes at the same version have the same document.
 """
 
 from collections.abc import Iterator
@@ -24,8 +24,11 @@
 
 __all__ = ["Change", "Document", "Held", "Put", "Removal"]
 
-_CHANGE_IDS_KEPT = 256
-_GENESIS = "0" * 16
+# Number of recent change ids in a document; a repeated call is recognised by
+# them.
+_MAX_CHANGE_IDS = 256
+# The digest of the empty document at version 0.
+_INITIAL_DIGEST = "0" * 16
 
 Key = tuple[str, str]
 _T = TypeVar("_T", bound=objects.ConfigurationObject)
@@ -36,7 +39,7 @@
     """Creates or replaces one object.
 
     :param based_on: the version in which the object last changed, as the
-        author saw it; 0 when it must not exist, None for any.
+        author read it; 0 if it must not exist, None for any version.
     """
 
     item: objects.ConfigurationObject
@@ -64,11 +67,11 @@
 
 @dataclass(frozen=True)
 class Change:
-    """One accepted or proposed step from a version to the next.
+    """An accepted or proposed change from one version to the next.
 
-    :param change_id: the author's own id, by which a repeated call is
-        recognised.
-    :param at: a hybrid logical clock reading.
+    :param change_id: an id chosen by the author, by which a repeated call
+        is recognised.
+    :param at: the time of a hybrid logical clock.
     """
 
     version: int
@@ -86,19 +89,19 @@
 
     @classmethod
     def from_bytes(cls, data: bytes) -> "Change":
-        """Return the change that JSON describes.
+        """Return the change that a JSON text describes.
 
-        :raises magnoliacove.errors.ProtocolError: when it is none.
+        :raises magnoliacove.errors.ProtocolError: if it is malformed.
         """
         try:
             values = json.loads(data)
             operations = tuple(map(_read_operation, values.pop("operations")))
             return cls(**values, operations=operations)
-        except (ValueError, KeyError, TypeError, errors.UserError) as why:
+        except (ValueError, KeyError, TypeError, errors.UserError) as exc:
             raise errors.ProtocolError(
-                f"a configuration change cannot be read: {why}; check that "
+                f"a configuration change cannot be read: {exc}; check that "
                 "all processes run the same release"
-            ) from why
+            ) from exc
 
 
 def _write_operation(operation: Put | Removal) -> dict[str, Any]:
@@ -116,7 +119,7 @@
 
 @dataclass(frozen=True)
 class Held:
-    """An object and the versions in which it came and last changed."""
+    """An object and the versions in which it was last changed and created."""
 
     item: objects.ConfigurationObject
     version: int
@@ -128,7 +131,7 @@
     """The configuration at one version."""
 
     version: int = 0
-    digest: str = _GENESIS
+    digest: str = _INITIAL_DIGEST
     held: Mapping[Key, Held] = field(
         default_factory=lambda: MappingProxyType({})
     )
@@ -138,17 +141,17 @@
 
     def find(self, kind: type[_T], name: str) -> _T | None:
         """Return the object of a kind and name, or None."""
-        found = self.held.get((kind.kind, name))
-        return found.item if found else None  # type: ignore[return-value]
+        entry = self.held.get((kind.kind, name))
+        return entry.item if entry else None  # type: ignore[return-value]
 
     def list_items(self, kind: type[_T]) -> Iterator[_T]:
-        """Return the objects of a kind, by name."""
-        for (held_kind, _), found in sorted(self.held.items()):
-            if held_kind == kind.kind:
-                yield found.item  # type: ignore[misc]
+        """Return the objects of a kind, sorted by name."""
+        for (entry_kind, _), entry in sorted(self.held.items()):
+            if entry_kind == kind.kind:
+                yield entry.item  # type: ignore[misc]
 
     def find_change(self, change_id: str) -> int | None:
-        """Return the version that a change id led to, or None."""
+        """Return the version that a change id created, or None."""
         return dict(self.change_ids).get(change_id)
 
     # Changing.
@@ -160,7 +163,7 @@
         at: int,
         operations: tuple[Put | Removal, ...],
     ) -> Result[Change, errors.UserError]:
-        """Return the change to the next version, once checked."""
+        """Check operations and return the change to the next version."""
         change = Change(
             self.version + 1, self.digest, change_id, author, at, operations
         )
@@ -170,15 +173,15 @@
             for operation in operations:
                 self._check_base(operation)
             self.apply(change)._check_references()
-        except errors.UserError as why:
-            return Failure(why)
+        except errors.UserError as exc:
+            return Failure(exc)
         return Success(change)
 
     def apply(self, change: Change) -> "Document":
         """Return the document after an accepted change.
 
-        :raises magnoliacove.errors.ProtocolError: when the change does
-            not follow this version.
+        :raises magnoliacove.errors.ProtocolError: if the change does not
+            follow this version.
         """
         if change.version != self.version + 1:
             raise errors.ProtocolError(
@@ -186,8 +189,9 @@
                 f"{self.version}"
             )
         if change.previous_digest != self.digest:
-            # A store put back from a copy hands out version numbers a
-            # second time.  Taking such a change would mix two histories.
+            # A store that was restored from an older snapshot assigns
+            # version numbers a second time.  Accepting such a change would
+            # mix two histories.
             raise errors.ProtocolError(
                 f"change {change.version} follows another history than this "
                 "process's; see 'configuration forked' in the operators' "
@@ -199,8 +203,8 @@
                 held.pop((operation.kind, operation.name), None)
                 continue
             key = (operation.kind, operation.name)
-            known = held.get(key)
-            created = known.created if known else change.version
+            previous = held.get(key)
+            created = previous.created if previous else change.version
             held[key] = Held(operation.item, change.version, created)
         ids = (*self.change_ids, (change.change_id, change.version))
         digest = hashlib.sha256(change.to_bytes()).hexdigest()[:16]
@@ -208,18 +212,18 @@
             change.version,
             digest,
             MappingProxyType(held),
-            ids[-_CHANGE_IDS_KEPT:],
+            ids[-_MAX_CHANGE_IDS:],
         )
 
     def _check_base(self, operation: Put | Removal) -> None:
         kind, name = operation.kind, operation.name
-        found = self.held.get((kind, name))
-        if isinstance(operation, Removal) and found is None:
+        entry = self.held.get((kind, name))
+        if isinstance(operation, Removal) and entry is None:
             raise errors.NotFoundError(
                 f"there is no {kind} {name}; list the names with "
                 f"'magnoliacove list {kind}'"
             )
-        current = found.version if found else 0
+        current = entry.version if entry else 0
         if operation.based_on is None or operation.based_on == current:
             return
         if operation.based_on == 0:
@@ -237,7 +241,9 @@
             self._check_target(target)
         for pipeline in self.list_items(objects.Pipeline):
             for step in pipeline.steps:
-                self._need(f"pipeline {pipeline.name}", objects.Service, step)
+                self._require_object(
+                    f"pipeline {pipeline.name}", objects.Service, step
+                )
         seen: dict[str, str] = {}
         for account in self.list_items(objects.ClientAccount):
             for key_hash in account.key_hashes:
@@ -248,14 +254,14 @@
                     )
                 seen[key_hash] = account.name
             for service in account.services:
-                self._need(
+                self._require_object(
                     f"client account {account.name}", objects.Service, service
                 )
 
     def _check_target(self, target: objects.Target) -> None:
         owner = f"target {target.name}"
-        service = self._need(owner, objects.Service, target.service)
-        self._need(owner, objects.DataCentre, target.data_centre)
+        service = self._require_object(owner, objects.Service, target.service)
+        self._require_object(owner, objects.DataCentre, target.data_centre)
         if service.form == "plain":
             if target.end_layer:
                 raise errors.UserError(
@@ -270,22 +276,22 @@
                 f"{service.name}"
             )
 
-    def _need(self, owner: str, kind: type[_T], name: str) -> _T:
-        found = self.find(kind, name)
-        if found is None:
+    def _require_object(self, owner: str, kind: type[_T], name: str) -> _T:
+        item = self.find(kind, name)
+        if item is None:
             raise errors.UserError(
                 f"{owner} names {kind.kind} {name}, which does not exist; "
                 "create it first, or remove this use of it"
             )
-        return found
+        return item
 
     # Whole documents.
 
     def to_bytes(self) -> bytes:
-        """Return the whole document, compressed."""
+        """Return the whole document as compressed JSON."""
         items = [
-            [kind, objects.to_values(found.item), found.version, found.created]
-            for (kind, _), found in self.held.items()
+            [kind, objects.to_values(entry.item), entry.version, entry.created]
+            for (kind, _), entry in self.held.items()
         ]
         data = {
             "version": self.version,
@@ -297,17 +303,20 @@
 
     @classmethod
     def from_bytes(cls, data: bytes) -> "Document":
-        """Return the document that :meth:`to_bytes` wrote.
+        """Return the document that :meth:`to_bytes` encoded.
 
-        :raises magnoliacove.errors.ProtocolError: when it is none.
+        :raises magnoliacove.errors.ProtocolError: if it is malformed.
         """
         try:
             values = json.loads(zlib.decompress(data))
             held = {}
-            for kind, plain, version, created in values["items"]:
-                item = objects.make_object(kind, plain)
+            for kind, item_values, version, created in values["items"]:
+                item = objects.make_object(kind, item_values)
                 held[(kind, item.name)] = Held(item, version, created)
-            ids = tuple((name, at) for name, at in values["change_ids"])
+            ids = tuple(
+                (change_id, version)
+                for change_id, version in values["change_ids"]
+            )
             return cls(
                 values["version"],
                 values["digest"],
@@ -320,7 +329,7 @@
             TypeError,
             zlib.error,
             errors.UserError,
-        ) as why:
+        ) as exc:
             raise errors.ProtocolError(
-                f"a configuration document cannot be read: {why}"
-            ) from why
+                f"a configuration document cannot be read: {exc}"
+            ) from exc
--- a/magnoliacove/configuration/journal.py
+++ b/magnoliacove/configuration/journal.py
@@ -1,9 +1,9 @@
 """The configuration's journal in the platform's object API.
 
-Each change is one object whose name is its version, created only if it
-does not exist: of two operators who race for a version one gets it and
-the other is told.  Now and then a checkpoint holds the whole document and
-old changes are deleted.
+Each change is an object that is named by its version and created only if it
+does not exist: if two operators race for a version, one gets it and the
+other receives a conflict.  From time to time a checkpoint with the whole
+document is written and old changes are deleted.
 """
 
 from collections.abc import Callable
@@ -27,14 +27,14 @@
 PREFIX = "state/configuration/"
 _CHECKPOINT = PREFIX + "checkpoint"
 _CHANGE = PREFIX + "change/"
-_COMMIT_TRIES = 6
+_MAX_COMMIT_ATTEMPTS = 6
 
 
 @dataclass(frozen=True)
 class Committed:
     """An accepted change.
 
-    :param version: the version that the change led to.
+    :param version: the version that the change created.
     :param repeated: whether an earlier call had applied it.
     """
 
@@ -54,10 +54,12 @@
         self._api = api
 
     async def load(self, known: Document | None = None) -> Document:
-        """Return the newest document, reading as little as possible.
+        """Return the newest document, reading only what is newer.
 
-        :raises magnoliacove.errors.PlatformError: when the platform does
-            not answer.
+        :param known: a document from which to continue, or None to read
+            the whole configuration.
+        :raises magnoliacove.errors.PlatformError: if the platform does not
+            answer.
         """
         if known is None:
             return await self._load_whole()
@@ -70,14 +72,14 @@
             checkpoint = await self._read_checkpoint()
             if checkpoint.version <= document.version:
                 return document
-            # The changes in between were compacted away.
+            # A compaction deleted the changes in between.
             document = checkpoint
 
     async def _load_whole(self) -> Document:
         """Return the newest document with two calls.
 
-        Of the changes after the checkpoint none is missing: a compaction
-        deletes only those before the checkpoint that it replaces.
+        No change after the checkpoint is missing, because a compaction
+        deletes only changes up to the checkpoint that it replaces.
         """
         document = await self._read_checkpoint()
         listing = await self._api.list_records(_CHANGE)
@@ -94,17 +96,17 @@
         read_clock: Callable[[], int],
         operations: tuple[Put | Removal, ...],
     ) -> Result[Committed, errors.UserError]:
-        """Make a change the next version.
+        """Commit a change as the next version.
 
-        A repeated call with the same change id finds the first one's
-        version instead of changing anything again.
+        A repeated call with the same change id returns the version of the
+        first call and changes nothing.
 
-        :raises magnoliacove.errors.PlatformError: when the platform does
-            not answer; its outcome tells whether the change may be in
+        :raises magnoliacove.errors.PlatformError: if the platform does not
+            answer; the error's outcome states whether the change may be in
             force.
         """
         may_have_run = False
-        for attempt in range(_COMMIT_TRIES):
+        for attempt in range(_MAX_COMMIT_ATTEMPTS):
             try:
                 document = await self.load(document)
                 applied = document.find_change(change_id)
@@ -120,14 +122,15 @@
                 document = document.apply(change)
                 return Success(Committed(document, change.version, False))
             except platform.VersionConflictError:
-                # Another operator's change took this version.  It is read
-                # and this one is checked again on top of it.
+                # Another operator's change has this version.  The next
+                # attempt reads it and checks this change on top of it.
                 continue
-            except errors.PlatformError as why:
-                may_have_run |= why.outcome is not errors.Outcome.NOT_RUN
-                # A lost answer leaves it open whether the change exists.
-                # The next turn looks for its id before it writes again.
-                if attempt == _COMMIT_TRIES - 1:
+            except errors.PlatformError as exc:
+                may_have_run |= exc.outcome is not errors.Outcome.NOT_RUN
+                # After a lost answer it is unknown whether the change
+                # exists.  The next attempt looks for its id before it
+                # writes again.
+                if attempt == _MAX_COMMIT_ATTEMPTS - 1:
                     break
                 await trio.sleep(defaults.STORE_RETRY_FIRST * 2**attempt)
         raise errors.PlatformError(
@@ -139,19 +142,19 @@
         )
 
     async def compact(self, document: Document) -> None:
-        """Write a checkpoint and delete the changes well before it."""
+        """Write a checkpoint and delete the changes up to the former one."""
         record = await self._api.get(_CHECKPOINT)
         version = record.version if record else 0
-        old = Document.from_bytes(record.value) if record else Document()
-        if document.version <= old.version:
+        former = Document.from_bytes(record.value) if record else Document()
+        if document.version <= former.version:
             return
         await self._api.put(_CHECKPOINT, document.to_bytes(), version)
-        # Changes after the former checkpoint stay: a process that is a
-        # little behind still finds them.
+        # Keep the changes after the former checkpoint, so that a process
+        # that is slightly behind can still read them.
         listing = await self._api.list_records(_CHANGE)
-        for found in listing.records:
-            if found.name <= _change_name(old.version):
-                await self._api.delete(found.name, found.version)
+        for stored in listing.records:
+            if stored.name <= _change_name(former.version):
+                await self._api.delete(stored.name, stored.version)
 
     async def _create(self, change: Change) -> None:
         name = _change_name(change.version)
@@ -161,9 +164,10 @@
             return
         if checkpoint.find_change(change.change_id) == change.version:
             return
-        # This process slept while others went far ahead and the change
-        # that held this version was compacted away, so its name was free
-        # again.  Nobody would ever read this one: it is taken back.
+        # This process was suspended while others committed many versions,
+        # and a compaction deleted the change with this version, so that its
+        # name was free again.  No process would ever read this change,
+        # because it lies before the checkpoint: delete it.
         await self._api.delete(name, version)
         raise platform.VersionConflictError(
             f"version {change.version} was taken long ago"
--- a/magnoliacove/configuration/objects.py
+++ b/magnoliacove/configuration/objects.py
@@ -1,7 +1,7 @@
-"""What operators configure, from data centres to targets.
+"""The objects that operators configure, from data centres to targets.
 
-Each kind is a frozen data class that checks its own values; references
-between objects are checked by the document that holds them.
+Each kind is a frozen data class that checks its own values; the document
+that contains the objects checks the references between them.
 """
 
 from collections.abc import Mapping
@@ -33,7 +33,7 @@
 
 
 def hash_key(key: str) -> str:
-    """Return what is stored in place of a caller's API key."""
+    """Return the hash that is stored instead of a caller's API key."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True)
 class DataCentre:
-    """A place whose instances fail together."""
+    """A location whose instances may fail together."""
 
     kind: ClassVar[str] = "data_centre"
     name: str
@@ -68,11 +68,12 @@
     """A model or a plain service.
 
     :param form: ``model`` or ``plain``.
-    :param layers: how many layers a model has; 0 for a plain service.
-    :param priority: higher goes first when there is too much work.
-    :param deadline: seconds a request may take.
-    :param non_idempotent: requests that run at most once, each a method
-        and a path prefix such as ``POST /bids``; ``*`` is any method.
+    :param layers: number of layers of a model; 0 for a plain service.
+    :param priority: requests with a higher value are served first under
+        overload.
+    :param deadline: seconds that a request may take.
+    :param non_idempotent: requests that run at most once, each given as a
+        method and a path prefix such as ``POST /bids``; ``*`` is any method.
     """
 
     kind: ClassVar[str] = "service"
@@ -117,12 +118,12 @@
 
 @dataclass(frozen=True)
 class ClientAccount:
-    """Whom requests are served and counted for.
+    """An account for which requests are served and counted.
 
     :param key_hashes: SHA-256 of each API key, in hexadecimal.
-    :param weight: the account's share when there is too much work.
-    :param requests_per_second: a limit over all entries; 0 for none.
-    :param services: what it may use; empty for every service.
+    :param weight: the account's relative share under overload.
+    :param requests_per_second: a limit over all entries; 0 for no limit.
+    :param services: the services that it may use; empty for all.
     """
 
     kind: ClassVar[str] = "client_account"
@@ -154,7 +155,7 @@
 
 @dataclass(frozen=True)
 class Pipeline:
-    """Services that run one after another on one request."""
+    """A sequence of services that a request runs through."""
 
     kind: ClassVar[str] = "pipeline"
     name: str
@@ -172,12 +173,12 @@
 class Target:
     """A back end: one model engine or one instance of a plain service.
 
-    :param accelerator: the kind of accelerator, a free word.
-    :param first_layer: the first layer that a model engine holds.
+    :param accelerator: the kind of accelerator, in free form.
+    :param first_layer: the first layer that a model engine serves.
     :param end_layer: one past the last layer; 0 for a plain service.
     :param state: ``active`` or ``draining``.
-    :param checks_orders: whether the engine itself refuses an order that
-        carries an old fencing number.
+    :param checks_orders: whether the engine itself refuses an order with an
+        outdated fencing token.
     """
 
     kind: ClassVar[str] = "target"
@@ -216,7 +217,8 @@
 def make_object(kind: str, values: Mapping[str, Any]) -> ConfigurationObject:
     """Build a checked object from plain values.
 
-    :raises magnoliacove.errors.UserError: naming what is wrong.
+    :raises magnoliacove.errors.UserError: if the kind or a value is
+        invalid; the message names the mistake.
     """
     if kind not in KINDS:
         raise errors.UserError(
@@ -228,23 +230,23 @@
         raise errors.UserError(
             f"{kind} has no field {unknown[0]!r}; it has {', '.join(known)}"
         )
-    ready = {
+    arguments = {
         name: tuple(value) if isinstance(value, list) else value
         for name, value in values.items()
     }
     try:
-        return KINDS[kind](**ready)
-    except TypeError as why:
+        return KINDS[kind](**arguments)
+    except TypeError as exc:
         raise errors.UserError(
-            f"{kind} is incomplete or has a value of the wrong type: {why}"
-        ) from why
+            f"{kind} is incomplete or has a value of the wrong type: {exc}"
+        ) from exc
 
 
 def to_values(item: ConfigurationObject) -> dict[str, Any]:
-    """Return an object's plain values, defaults left out."""
-    kept = {}
+    """Return an object's plain values without those equal to defaults."""
+    values = {}
     defaults_of = {f.name: f.default for f in fields(item)}
     for name, value in asdict(item).items():
         if value != defaults_of[name]:
-            kept[name] = list(value) if isinstance(value, tuple) else value
-    return kept
+            values[name] = list(value) if isinstance(value, tuple) else value
+    return values
--- a/magnoliacove/configuration/routes.py
+++ b/magnoliacove/configuration/routes.py
@@ -1,7 +1,7 @@
-"""What an entry serves to callers: routes, accounts and model shapes.
+"""The routes, accounts and model shapes that gateways serve callers by.
 
-A table is one whole version of the configuration.  It is built once and
-never changed, so a request that began under one version ends under it.
+A table is one complete version of the configuration.  It is immutable, so a
+request that starts under one version finishes under the same version.
 """
 
 from collections.abc import Mapping
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True)
 class ServiceShare:
-    """A part of a route's requests, in proportion to its weight."""
+    """A service's share of a route's requests, proportional to its weight."""
 
     service: str
     weight: float
@@ -31,17 +31,19 @@
 
 @dataclass(frozen=True)
 class Route:
-    """Where requests of one host and path prefix go; times in seconds.
-
-    :param idempotent: a request may run more than once.
-    :param streaming: the answer is a series of events.
-    :param resumable: a broken stream may go on at another target.
-    :param timeout: the longest time that a caller is kept waiting.
-    :param latency_objective: until the answer, or its first event.
-    :param gap_objective: the longest pause between two events.
-    :param priority: 0 goes first.
-    :param max_attempts: the most targets that may run one request.
-    :param public: served without an API key.
+    """The route for one host and path prefix; times in seconds.
+
+    :param idempotent: whether a request may run more than once.
+    :param streaming: whether the answer is a series of events.
+    :param resumable: whether an interrupted stream may continue at another
+        target.
+    :param timeout: maximum time that a caller waits.
+    :param latency_objective: desired time until the answer or its first
+        event.
+    :param gap_objective: longest desired pause between two events.
+    :param priority: 0 is the most urgent.
+    :param max_attempts: maximum number of targets that may run a request.
+    :param public: whether requests need no API key.
     """
 
     name: str
@@ -60,11 +62,11 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request that may have run may be sent once more."""
+        """Whether a request that may have run may be sent again."""
         return self.idempotent or (self.streaming and self.resumable)
 
     def choose_service(self, rng: random.Random) -> str:
-        """Return a service, each in proportion to its weight."""
+        """Return a random service with a probability given by its weight."""
         if len(self.shares) == 1:
             return self.shares[0].service
         weights = [share.weight for share in self.shares]
@@ -75,7 +77,7 @@
 class Account:
     """The client account that an API key belongs to.
 
-    :param priority: goes before the route's priority when set.
+    :param priority: overrides the route's priority unless None.
     """
 
     name: str
@@ -86,9 +88,9 @@
 class Accelerator:
     """One kind of accelerator.
 
-    :param memory_mb: for layers and for requests.
-    :param step_factor: how many times longer a token step takes.
-    :param prefill_factor: how many times longer reading a prompt takes.
+    :param memory_mb: memory for both layers and requests.
+    :param step_factor: factor on the duration of a token step.
+    :param prefill_factor: factor on the duration of reading a prompt.
     """
 
     name: str
@@ -99,27 +101,32 @@
 
 @dataclass(frozen=True)
 class ModelShape:
-    """What a model's engines do and hold; times in seconds.
-
-    Step and prefill times are those of an accelerator of factor 1 that
-    runs all layers.
-
-    :param layers: how many layers the model has.
-    :param layer_mb: the memory of one layer's weights.
-    :param token_mb: the memory of one token in all layers together.
-    :param step: a token step, whatever runs in it.
-    :param step_per_request: added for each request that is writing.
-    :param step_per_kilotoken: added for each 1,000 tokens of context.
-    :param prefill_per_second: prompt tokens read in a second.
-    :param prefill_chunk: prompt tokens read in one pass at most.
-    :param steps_per_pass: token steps of each pass while requests write.
-    :param hop_bytes: what one token carries from an engine to the next.
-    :param link_mbps: the pipe between data centres that all share.
-    :param load: loading all layers onto one engine.
-    :param parallel_loads: more loads than these at a time take longer.
-    :param usual_prompt: mean tokens of a prompt.
-    :param usual_answer: mean tokens of an answer.
-    :param slots: requests that an engine takes as the first of a path.
+    """A model's memory needs and timing; times in seconds.
+
+    Step and prefill times apply to an accelerator with factor 1 that runs
+    all layers.
+
+    :param layers: number of layers of the model.
+    :param layer_mb: memory of one layer's weights.
+    :param token_mb: memory of one token in all layers together.
+    :param step: base duration of a token step.
+    :param step_per_request: additional duration of a step for each request
+        that generates tokens.
+    :param step_per_kilotoken: additional duration of a step for each 1,000
+        tokens of context.
+    :param prefill_per_second: prompt tokens read per second.
+    :param prefill_chunk: maximum number of prompt tokens read in one pass.
+    :param steps_per_pass: token steps in each pass while requests generate
+        tokens.
+    :param hop_bytes: bytes sent from one engine to the next for one token.
+    :param link_mbps: bandwidth of the link between data centres, which all
+        requests share.
+    :param load: duration of loading all layers onto one engine.
+    :param parallel_loads: number of concurrent loads above which each load
+        takes longer.
+    :param usual_prompt: mean length of a prompt in tokens.
+    :param usual_answer: mean length of an answer in tokens.
+    :param slots: requests that an engine accepts as the first of a path.
     """
 
     layers: int
@@ -138,32 +145,35 @@
     slots: int
     prefill_chunk: float = 512.0
     steps_per_pass: int = 1
-    # Left out of the hash, which a mapping has none of.
+    # Excluded from the hash, because a mapping is not hashable.
     accelerators: Mapping[str, Accelerator] = field(
         default_factory=dict, hash=False
     )
 
     @property
     def usual_tokens(self) -> float:
-        """Tokens that a usual request holds at its end."""
+        """Mean number of tokens of a request at its end."""
         return self.usual_prompt + self.usual_answer
 
     def compute_capacity(self, accelerator: str, layers: int) -> float:
-        """Return token-layers of memory left beside some layers.
+        """Return the memory for requests beside loaded layers.
 
-        A token-layer is the memory of one token in one layer.
+        :param accelerator: the kind of accelerator.
+        :param layers: number of loaded layers.
+        :returns: token-layers; one is the memory of one token in one layer.
         """
         kind = self.accelerators[accelerator]
-        left = kind.memory_mb - layers * self.layer_mb
-        return max(0.0, left) / (self.token_mb / self.layers)
+        free_mb = kind.memory_mb - layers * self.layer_mb
+        return max(0.0, free_mb) / (self.token_mb / self.layers)
 
 
 @dataclass(frozen=True)
 class ServiceSpec:
     """A service behind the routes.
 
-    :param max_connections: what one target takes from all callers.
-    :param model: the shape of a model that runs on chains of engines, or
+    :param max_connections: number of connections that one target accepts
+        from all callers together.
+    :param model: the shape of a model that runs on paths of engines, or
         None for a plain service.
     """
 
@@ -175,7 +185,7 @@
 
 @dataclass(frozen=True)
 class CallerLimits:
-    """What a caller may send; sizes in bytes, times in seconds."""
+    """Limits for a caller's request; sizes in bytes, times in seconds."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4 * 1024 * 1024
@@ -184,7 +194,7 @@
 
 
 class RouteTable:
-    """One version of the configuration, as requests need it."""
+    """One version of the configuration, indexed for requests."""
 
     def __init__(
         self,
@@ -206,22 +216,22 @@
 
     @property
     def needs_keys(self) -> bool:
-        """Whether requests carry API keys at all."""
+        """Whether the configuration defines API keys."""
         return self._accounts is not None
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins the path.
+        """Return the route with the longest matching path prefix, or None.
 
-        :param path: as the caller sent it, without its query.
+        :param path: the path that the caller sent, without the query.
         """
         prefixes = self._by_host.get(host.lower())
         if prefixes is None:
             return None
         end = len(path)
         while (end := path.rfind("/", 0, end)) >= 0:
-            found = prefixes.get(path[: end + 1])
-            if found is not None:
-                return found
+            route = prefixes.get(path[: end + 1])
+            if route is not None:
+                return route
         return None
 
     def find_account(self, key: str) -> Account | None:
--- a/magnoliacove/operators/__init__.py
+++ b/magnoliacove/operators/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' calls: their schema, their service, their client."""
+"""The operators' API: schema, service and client."""
--- a/magnoliacove/operators/client.py
+++ b/magnoliacove/operators/client.py
@@ -1,4 +1,4 @@
-"""A client of the operators' calls, for the command line and scripts."""
+"""A client of the operators' API for the command line and scripts."""
 
 from collections.abc import Sequence
 import time
@@ -17,16 +17,20 @@
 
 _T = TypeVar("_T")
 _TIMEOUT_MS = 15_000
-_TRIES = 3
-_PAUSE = 0.5
-_LOST = (Code.UNAVAILABLE, Code.UNKNOWN, Code.DEADLINE_EXCEEDED)
+_MAX_ATTEMPTS = 3
+# Seconds between two attempts.
+_RETRY_DELAY = 0.5
+# Codes of a call that failed to reach the service or whose outcome is
+# unknown.
+_NO_ANSWER_CODES = (Code.UNAVAILABLE, Code.UNKNOWN, Code.DEADLINE_EXCEEDED)
 
 
 class OperatorsClient:
     """Makes the operators' calls and translates their errors.
 
-    :param url: an entry's address for operators, as
+    :param url: the URL of an entry's operators' API, for example
         ``http://127.0.0.1:8081``.
+    :param key: the operator's key.
     """
 
     def __init__(self, url: str, key: str) -> None:
@@ -35,39 +39,39 @@
         self._headers = {"authorization": f"Bearer {key}"}
 
     def apply(self, operations: Sequence[pb.Operation]) -> pb.ApplyResponse:
-        """Apply operations together, as one new version.
+        """Apply operations atomically, as one new version.
 
         A call whose answer is lost is repeated with the same change id, so
-        the change is applied once.
+        that the change is applied only once.
         """
         request = pb.ApplyRequest(
             change_id=str(uuid.uuid4()), operations=list(operations)
         )
-        for _ in range(_TRIES - 1):
+        for _ in range(_MAX_ATTEMPTS - 1):
             try:
                 return self._call(self._client.apply, request)
             except errors.PlatformError:
-                time.sleep(_PAUSE)
+                time.sleep(_RETRY_DELAY)
         return self._call(self._client.apply, request)
 
     def plan(self, operations: Sequence[pb.Operation]) -> pb.PlanResponse:
-        """Say what apply would do."""
+        """Return the changes that apply would make."""
         request = pb.ApplyRequest(operations=list(operations))
         return self._call(self._client.plan, request)
 
     def read(self, kind: str, name: str = "") -> pb.ReadResponse:
-        """Return one object, or all of a kind."""
+        """Return one object, or all objects of a kind."""
         request = pb.ReadRequest(kind=kind, name=name)
         return self._call(self._client.read, request)
 
     def get_status(self) -> pb.StatusResponse:
-        """Say which version is in force where, and how targets fare."""
+        """Return the state of each instance and service, with versions."""
         return self._call(self._client.get_status, pb.StatusRequest())
 
     def give_order(
         self, target: str, action: str, argument: str
     ) -> pb.OrderResponse:
-        """Order the engine beside a target."""
+        """Send an order to the engine of a target."""
         request = pb.OrderRequest(
             target=target, action=action, argument=argument
         )
@@ -78,20 +82,22 @@
             return method(
                 request, headers=self._headers, timeout_ms=_TIMEOUT_MS
             )
-        except ConnectError as why:
-            raise self._translate(why) from why
+        except ConnectError as exc:
+            raise self._translate(exc) from exc
 
-    def _translate(self, why: ConnectError) -> errors.Error:
-        text = why.message
-        if why.code == Code.ABORTED:
+    def _translate(self, error: ConnectError) -> errors.Error:
+        text = error.message
+        if error.code == Code.ABORTED:
             return errors.ConflictError(text)
-        if why.code == Code.NOT_FOUND:
+        if error.code == Code.NOT_FOUND:
             return errors.NotFoundError(text)
-        if why.code in _LOST:
-            may = why.code != Code.UNAVAILABLE
+        if error.code in _NO_ANSWER_CODES:
+            may_have_run = error.code != Code.UNAVAILABLE
             return errors.PlatformError(
                 f"{text or 'no answer'} (from {self._url}; check --server, "
                 "or try another entry)",
-                errors.Outcome.MAY_HAVE_RUN if may else errors.Outcome.NOT_RUN,
+                errors.Outcome.MAY_HAVE_RUN
+                if may_have_run
+                else errors.Outcome.NOT_RUN,
             )
         return errors.UserError(text)
--- a/magnoliacove/operators/conversion.py
+++ b/magnoliacove/operators/conversion.py
@@ -1,4 +1,4 @@
-"""Between the operators' schema and the configuration's objects."""
+"""Conversion between the operators' schema and configuration objects."""
 
 from dataclasses import fields
 from typing import Any
@@ -27,9 +27,10 @@
 
 
 def read_item(item: pb.Item) -> configuration.ConfigurationObject:
-    """Return the checked object of a message.
+    """Return the checked object that a message describes.
 
-    :raises magnoliacove.errors.UserError: naming what is wrong.
+    :raises magnoliacove.errors.UserError: if the message is invalid; the
+        text names the mistake.
     """
     if item.item is None:
         raise errors.UserError("an item is empty; set one of its kinds")
@@ -37,7 +38,7 @@
     values: dict[str, Any] = {}
     for field in fields(configuration.KINDS[kind]):
         value = getattr(message, field.name)
-        # A field that was left out takes the object's own default.
+        # A field that is not set gets the default of the object's class.
         if value or field.name in ("name", "service", "form"):
             values[field.name] = value
     return configuration.make_object(kind, values)
@@ -46,24 +47,26 @@
 def write_item(
     item: configuration.ConfigurationObject, version: int = 0
 ) -> pb.Item:
-    """Return the message of an object."""
+    """Return the message that describes an object."""
     values = {
-        field.name: _plain(getattr(item, field.name)) for field in fields(item)
+        field.name: _to_list(getattr(item, field.name))
+        for field in fields(item)
     }
-    chosen: Any = Oneof(item.kind, _MESSAGES[item.kind](**values))
-    return pb.Item(item=chosen, version=version)
+    content: Any = Oneof(item.kind, _MESSAGES[item.kind](**values))
+    return pb.Item(item=content, version=version)
 
 
-def _plain(value: Any) -> Any:
+def _to_list(value: Any) -> Any:
     return list(value) if isinstance(value, tuple) else value
 
 
 def read_operation(
     operation: pb.Operation,
 ) -> configuration.Put | configuration.Removal:
-    """Return the configuration's operation for a message.
+    """Return the operation that a message describes.
 
-    :raises magnoliacove.errors.UserError: naming what is wrong.
+    :raises magnoliacove.errors.UserError: if the message is invalid; the
+        text names the mistake.
     """
     if operation.operation is None:
         raise errors.UserError("an operation is empty; set put or remove")
@@ -83,12 +86,12 @@
 def write_put(
     item: configuration.ConfigurationObject, based_on: int | None
 ) -> pb.Operation:
-    """Return the message that puts an object."""
+    """Return the message of an operation that puts an object."""
     return _make_operation(Oneof("put", write_item(item)), based_on)
 
 
 def write_removal(kind: str, name: str, based_on: int | None) -> pb.Operation:
-    """Return the message that deletes an object."""
+    """Return the message of an operation that deletes an object."""
     removal = pb.Removal(kind=kind, name=name)
     return _make_operation(Oneof("remove", removal), based_on)
 
--- a/magnoliacove/operators/endpoints.py
+++ b/magnoliacove/operators/endpoints.py
@@ -1,7 +1,8 @@
-"""Serving the operators' calls, straight from their schema.
+"""The ASGI application of the operators' API, built from its schema.
 
-The generated module would do, but it also brings a client and that one's
-HTTP library: 7.6 MB of the 64 MB that an entry may take.
+The generated server module is not used, because it also imports a client and
+the client's HTTP library, which take 7.6 MB of the 64 MB of memory that an
+entry may use.
 """
 
 import re
@@ -20,7 +21,7 @@
 
 def _list_endpoints(service: Any) -> dict[str, Any]:
     schema = pb.desc().services[0]
-    found: dict[str, Any] = {}
+    endpoints: dict[str, Any] = {}
     for method in schema.methods:
         function = re.sub(r"(?<!^)(?=[A-Z])", "_", method.name).lower()
         info = MethodInfo(
@@ -32,10 +33,10 @@
             stream_type=StreamType.UNARY,
         )
         path = f"/{schema.type_name}/{method.name}"
-        found[path] = Endpoint.unary(
+        endpoints[path] = Endpoint.unary(
             method=info, function=getattr(service, function)
         )
-    return found
+    return endpoints
 
 
 class _Application(ConnectASGIApplication):
@@ -48,10 +49,11 @@
 def make_application(
     service: Any, read_max_bytes: int
 ) -> ConnectASGIApplication:
-    """Return an ASGI application that serves the operators' calls.
+    """Return an ASGI application that serves the operators' API.
 
-    :param service: has an async method for each method of the schema, with
-        its name in lower case with underscores.
+    :param service: an object with an async method for each method of the
+        schema, named in snake case.
+    :param read_max_bytes: maximum size of a request in bytes.
     """
     return _Application(
         service=service,
--- a/magnoliacove/operators/files.py
+++ b/magnoliacove/operators/files.py
@@ -1,7 +1,7 @@
-"""Configuration files: TOML with one table for each object.
+"""Configuration files in TOML, with one table for each object.
 
-A table is named by kind and name, as ``[service.catalog-llm]``; its
-entries are the object's fields.
+The table's name consists of the kind and the name of the object, for example
+``[service.catalog-llm]``; its keys are the object's fields.
 """
 
 from collections.abc import Sequence
@@ -18,37 +18,38 @@
 ) -> list[configuration.ConfigurationObject]:
     """Return the checked objects of a file.
 
-    :raises magnoliacove.errors.UserError: naming the table that is wrong.
+    :raises magnoliacove.errors.UserError: if the file is invalid; the
+        message names the mistake.
     """
     try:
         tables = tomllib.loads(text)
-    except tomllib.TOMLDecodeError as why:
+    except tomllib.TOMLDecodeError as exc:
         raise errors.UserError(
-            f"the file is no TOML: {why}; write one table for each object, "
-            "as [service.catalog-llm]"
-        ) from why
-    found = []
-    for kind, named in tables.items():
-        if not isinstance(named, dict):
+            f"the file is not valid TOML: {exc}; write one table for each "
+            "object, such as [service.catalog-llm]"
+        ) from exc
+    items = []
+    for kind, objects in tables.items():
+        if not isinstance(objects, dict):
             raise errors.UserError(
-                f"{kind!r} stands outside a table; write [{kind}.NAME]"
+                f"{kind!r} is not in a table; write it below [{kind}.NAME]"
             )
-        for name, values in named.items():
+        for name, values in objects.items():
             if not isinstance(values, dict):
                 raise errors.UserError(
                     f"[{kind}] needs a name; write [{kind}.NAME] above "
                     f"{name!r}"
                 )
-            found.append(
+            items.append(
                 configuration.make_object(kind, {"name": name, **values})
             )
-    return found
+    return items
 
 
 def write_file(
     items: Sequence[configuration.ConfigurationObject],
 ) -> str:
-    """Return the file that describes objects."""
+    """Return the text of a file that describes objects."""
     parts = []
     for item in items:
         lines = [f"[{item.kind}.{item.name}]"]
--- a/magnoliacove/operators/service.py
+++ b/magnoliacove/operators/service.py
@@ -1,4 +1,4 @@
-"""The operators' calls, served by every entry."""
+"""The service of the operators' API, which every entry runs."""
 
 from collections.abc import Iterator
 from collections.abc import Mapping
@@ -28,16 +28,18 @@
 
 __all__ = ["OperatorsApp"]
 
+# Seconds to connect to an instance and to receive its hello.
 _PROBE_TIMEOUT = 1.5
-_PROBES_AT_ONCE = 64
+_MAX_CONCURRENT_PROBES = 64
+# Seconds to wait for an agent's answer to an order.
 _ORDER_TIMEOUT = 30.0
 
 
 class OperatorsApp:
     """Serves operators over gRPC, gRPC-Web and plain JSON.
 
-    :param keys: SHA-256 of each operator's key, in hexadecimal, and the
-        operator's name.
+    :param keys: maps the SHA-256 of each operator's key, in hexadecimal, to
+        the operator's name.
     """
 
     def __init__(
@@ -62,10 +64,10 @@
             return
         await self._connect(scope, receive, send)
 
-    # The calls.
+    # Methods of the schema.
 
     async def apply(self, request: pb.ApplyRequest, ctx: Any, /) -> Any:
-        """Apply operations together, as one new version."""
+        """Apply operations atomically, as one new version."""
         operator = self._authenticate(ctx)
         process = self._process
         with _translate_errors():
@@ -104,7 +106,7 @@
         )
 
     async def plan(self, request: pb.ApplyRequest, ctx: Any, /) -> Any:
-        """Say what apply would do."""
+        """Return the changes that apply would make."""
         self._authenticate(ctx)
         with _translate_errors():
             document = await self._load()
@@ -114,11 +116,11 @@
             proposed = document.propose("plan", "", 0, operations)
             if isinstance(proposed, Failure):
                 raise proposed.failure()
-        changes = [_plan_one(document, o) for o in operations]
+        changes = [_plan_operation(document, o) for o in operations]
         return pb.PlanResponse(version=document.version, changes=changes)
 
     async def read(self, request: pb.ReadRequest, ctx: Any, /) -> Any:
-        """Return one object, or all of a kind."""
+        """Return one object, or all objects of a kind."""
         self._authenticate(ctx)
         with _translate_errors():
             if request.kind not in configuration.KINDS:
@@ -128,8 +130,8 @@
                 )
             document = await self._load()
             items = [
-                conversion.write_item(held.item, held.version)
-                for (kind, name), held in sorted(document.held.items())
+                conversion.write_item(entry.item, entry.version)
+                for (kind, name), entry in sorted(document.held.items())
                 if kind == request.kind and request.name in ("", name)
             ]
             if request.name and not items:
@@ -140,14 +142,14 @@
         return pb.ReadResponse(version=document.version, items=items)
 
     async def get_status(self, request: pb.StatusRequest, ctx: Any, /) -> Any:
-        """Say which version is in force where, and how targets fare."""
+        """Return the state of each instance and service, with versions."""
         self._authenticate(ctx)
         process = self._process
-        found = process.view.list_instances()
+        instances = process.view.list_instances()
         states: list[pb.InstanceStatus] = []
-        limit = trio.CapacityLimiter(_PROBES_AT_ONCE)
+        limit = trio.CapacityLimiter(_MAX_CONCURRENT_PROBES)
         async with trio.open_nursery() as nursery:
-            for instance in found:
+            for instance in instances:
                 nursery.start_soon(self._probe, instance, limit, states)
         states.sort(key=lambda status: (status.role, status.name))
         return pb.StatusResponse(
@@ -158,7 +160,7 @@
         )
 
     async def give_order(self, request: pb.OrderRequest, ctx: Any, /) -> Any:
-        """Order an engine, under the lease for orders."""
+        """Send an order to an engine while holding the lease for orders."""
         operator = self._authenticate(ctx)
         with _translate_errors():
             instance = self._process.view.find_instance(request.target)
@@ -199,11 +201,11 @@
             applied=result.applied, reason=result.reason, fence=fence
         )
 
-    # Parts.
+    # Helpers.
 
     def _authenticate(self, ctx: Any) -> str:
-        given = ctx.request_headers.get("authorization", "")
-        scheme, _, key = given.partition(" ")
+        credentials = ctx.request_headers.get("authorization", "")
+        scheme, _, key = credentials.partition(" ")
         name = self._keys.get(configuration.hash_key(key.strip()))
         if scheme.lower() != "bearer" or name is None:
             raise ConnectError(
@@ -214,7 +216,7 @@
         return name
 
     async def _load(self) -> configuration.Document:
-        """Return the newest document, or the one in force in an outage."""
+        """Return the newest document, or during an outage the one in force."""
         process = self._process
         try:
             document = await self._journal.load(process.view.document)
@@ -230,9 +232,10 @@
             return
         try:
             await self._journal.compact(document)
-        except errors.Error as why:
-            # The next multiple tries again; only the journal is longer.
-            self._process.recorder.record("compaction-failed", why=str(why))
+        except errors.Error as exc:
+            # The next compaction, CHECKPOINT_EVERY versions later, makes up
+            # for it; until then the journal is merely longer.
+            self._process.recorder.record("compaction-failed", why=str(exc))
 
     async def _probe(
         self,
@@ -274,12 +277,12 @@
 async def _ask_version(
     process: Process, instance: directory.Instance
 ) -> int | None:
-    """Return the version in force at an instance, or None if silent."""
-    found: list[int] = []
+    """Return the version in force at an instance, or None if no answer."""
+    versions: list[int] = []
 
-    def note(connection: wire.Connection) -> None:
+    def record_version(connection: wire.Connection) -> None:
         if connection.remote is not None:
-            found.append(connection.remote.configuration_version)
+            versions.append(connection.remote.configuration_version)
         connection.close()
 
     async def ignore(_: wire.Connection, message: messages.Message) -> None:
@@ -290,10 +293,10 @@
             stream = await process.network.connect(instance.parsed_address)
             await wire.Connection(
                 stream, process.recorder.clock, process.make_hello
-            ).run(ignore, note)
+            ).run(ignore, record_version)
         except errors.Error:
             pass
-    return found[0] if found else None
+    return versions[0] if versions else None
 
 
 def _describe_state(
@@ -307,6 +310,7 @@
 def _is_served(service: configuration.Service, options: list[Any]) -> bool:
     if service.form == "plain":
         return bool(options)
+    # Boundaries between layers that usable targets can serve up to.
     reached = {0}
     segments = list_segments(options, 0, service.layers)
     for start, stop in sorted(segments):
@@ -315,7 +319,7 @@
     return service.layers in reached
 
 
-def _plan_one(
+def _plan_operation(
     document: configuration.Document,
     operation: configuration.Put | configuration.Removal,
 ) -> pb.PlannedChange:
@@ -324,11 +328,11 @@
             kind=operation.kind, name=operation.name, action="delete"
         )
     item = operation.item
-    held = document.held.get((item.kind, item.name))
+    current = document.held.get((item.kind, item.name))
     changes = []
     for field in fields(item):
         after = getattr(item, field.name)
-        before = getattr(held.item, field.name) if held else None
+        before = getattr(current.item, field.name) if current else None
         if before != after:
             changes.append(
                 pb.FieldChange(
@@ -337,7 +341,7 @@
                     after=str(after),
                 )
             )
-    action = "update" if held else "create"
+    action = "update" if current else "create"
     return pb.PlannedChange(
         kind=item.kind,
         name=item.name,
@@ -350,16 +354,16 @@
 def _translate_errors() -> Iterator[None]:
     try:
         yield
-    except errors.ConflictError as why:
-        raise ConnectError(Code.ABORTED, str(why)) from why
-    except errors.NotFoundError as why:
-        raise ConnectError(Code.NOT_FOUND, str(why)) from why
-    except errors.UserError as why:
-        raise ConnectError(Code.INVALID_ARGUMENT, str(why)) from why
-    except errors.PlatformError as why:
-        known = why.outcome is errors.Outcome.NOT_RUN
-        text = "not applied" if known else "may have been applied"
-        code = Code.UNAVAILABLE if known else Code.UNKNOWN
-        raise ConnectError(code, f"{why} ({text})") from why
-    except errors.ProtocolError as why:
-        raise ConnectError(Code.INTERNAL, str(why)) from why
+    except errors.ConflictError as exc:
+        raise ConnectError(Code.ABORTED, str(exc)) from exc
+    except errors.NotFoundError as exc:
+        raise ConnectError(Code.NOT_FOUND, str(exc)) from exc
+    except errors.UserError as exc:
+        raise ConnectError(Code.INVALID_ARGUMENT, str(exc)) from exc
+    except errors.PlatformError as exc:
+        not_applied = exc.outcome is errors.Outcome.NOT_RUN
+        text = "not applied" if not_applied else "may have been applied"
+        code = Code.UNAVAILABLE if not_applied else Code.UNKNOWN
+        raise ConnectError(code, f"{exc} ({text})") from exc
+    except errors.ProtocolError as exc:
+        raise ConnectError(Code.INTERNAL, str(exc)) from exc
--- a/magnoliacove/targets/__init__.py
+++ b/magnoliacove/targets/__init__.py
@@ -1,4 +1,4 @@
-"""The back ends that agents stand beside."""
+"""Clients of the model engines and plain services beside agents."""
 
 from magnoliacove.targets.engine import Engine
 from magnoliacove.targets.engine import EngineError
--- a/magnoliacove/targets/engine.py
+++ b/magnoliacove/targets/engine.py
@@ -1,4 +1,4 @@
-"""Model engines: what an agent asks of one, and how, over HTTP."""
+"""The interface that an agent uses to its model engine, over HTTP."""
 
 import base64
 from collections.abc import Sequence
@@ -23,9 +23,9 @@
 
 
 class EngineError(errors.Error):
-    """An engine did not do what it was asked.
+    """A call to an engine failed.
 
-    :param outcome: whether it may have done it all the same.
+    :param outcome: whether the engine may have executed the call.
     """
 
     def __init__(self, message: str, outcome: errors.Outcome) -> None:
@@ -37,8 +37,9 @@
 class StepInput:
     """One step of one stream for a range of layers.
 
-    :param step: 0 for the whole prompt, then one for each token.
-    :param payload: tokens for the first layer, else activations.
+    :param step: 0 for the whole prompt, then one number for each token.
+    :param payload: tokens as input of the first layer, otherwise
+        activations.
     """
 
     stream: str
@@ -51,11 +52,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StepOutput:
-    """Activations, or from the last layer a token.
+    """The result of a step: activations, or a token from the last layer.
 
-    :param token: the token's text from the last layer, else None.
+    :param token: the token's text from the last layer, otherwise None.
     :param end: whether the model ends its answer with this token.
-    :param error: why the step was not done, or "".
+    :param error: the reason why the step did not run, or "".
     """
 
     stream: str
@@ -68,7 +69,7 @@
 
 @dataclass(frozen=True)
 class EngineLoad:
-    """What an engine says of itself, somewhat late."""
+    """The load that an engine reports, with some delay."""
 
     running: int
     queued: int
@@ -77,9 +78,9 @@
 
 
 class Engine(Protocol):
-    """A model engine that holds a range of layers.
+    """A model engine that serves a range of layers.
 
-    Each method raises :class:`EngineError`.
+    Each method raises :class:`EngineError` if the call fails.
     """
 
     async def run_steps(
@@ -88,29 +89,30 @@
         """Run steps of several streams in the engine's next batches."""
 
     async def cancel(self, streams: Sequence[str]) -> None:
-        """Forget streams and free their KV cache."""
+        """Discard streams and free their KV cache."""
 
     async def export_cache(self, stream: str) -> tuple[int, bytes]:
-        """Return a stream's next step and KV cache."""
+        """Return a stream's next step number and its KV cache."""
 
     async def import_cache(
         self, stream: str, next_step: int, data: bytes
     ) -> None:
-        """Take a stream's KV cache over from another engine."""
+        """Import a stream's KV cache that another engine exported."""
 
     async def read_load(self) -> EngineLoad:
-        """Return the load."""
+        """Return the engine's load."""
 
     async def give_order(self, fence: int, action: str, argument: str) -> None:
-        """Order the engine to load or change something.
+        """Order the engine to load something or to change its state.
 
-        :raises magnoliacove.errors.StaleOrderError: when the engine checks
-            fencing numbers and knows a higher one.
+        :param fence: the fencing token of the order's sender.
+        :raises magnoliacove.errors.StaleOrderError: if the engine checks
+            fencing tokens and has received a higher one.
         """
 
 
 class HttpEngine:
-    """Speaks to a model engine over HTTP."""
+    """Client of a model engine over HTTP."""
 
     def __init__(self, url: str, *, timeout: float = 10.0) -> None:
         self._url = url.rstrip("/")
@@ -148,18 +150,18 @@
         )
 
     async def cancel(self, streams: Sequence[str]) -> None:
-        """Forget streams and free their KV cache."""
+        """Discard streams and free their KV cache."""
         await self._call("/cancel", {"streams": list(streams)})
 
     async def export_cache(self, stream: str) -> tuple[int, bytes]:
-        """Return a stream's next step and KV cache."""
+        """Return a stream's next step number and its KV cache."""
         data = await self._call("/export", {"stream": stream})
         return data["next_step"], base64.b64decode(data["data"])
 
     async def import_cache(
         self, stream: str, next_step: int, data: bytes
     ) -> None:
-        """Take a stream's KV cache over from another engine."""
+        """Import a stream's KV cache that another engine exported."""
         await self._call(
             "/import",
             {
@@ -170,11 +172,11 @@
         )
 
     async def read_load(self) -> EngineLoad:
-        """Return the load."""
+        """Return the engine's load."""
         return EngineLoad(**await self._call("/load", {}))
 
     async def give_order(self, fence: int, action: str, argument: str) -> None:
-        """Order the engine to load or change something."""
+        """Order the engine to load something or to change its state."""
         await self._call(
             "/orders",
             {"fence": fence, "action": action, "argument": argument},
@@ -201,22 +203,22 @@
                 },
             )
             answer = json.loads(response.content or b"null")
-        except (httpcore.ConnectError, httpcore.ConnectTimeout) as why:
+        except (httpcore.ConnectError, httpcore.ConnectTimeout) as exc:
             raise EngineError(
                 f"the engine at {self._url} cannot be reached; check that "
                 "it runs and that --target-url is right",
                 errors.Outcome.NOT_RUN,
-            ) from why
+            ) from exc
         except (
             httpcore.NetworkError,
             httpcore.TimeoutException,
             httpcore.ProtocolError,
             ValueError,
-        ) as why:
+        ) as exc:
             raise EngineError(
                 f"the engine at {self._url} gave no answer to {path}",
                 errors.Outcome.MAY_HAVE_RUN,
-            ) from why
+            ) from exc
         if response.status == 409:
             raise errors.StaleOrderError(answer["error"])
         if response.status != 200:
--- a/magnoliacove/targets/plain.py
+++ b/magnoliacove/targets/plain.py
@@ -1,4 +1,4 @@
-"""Plain services: passing an HTTP request through."""
+"""Forwarding of HTTP requests to plain services."""
 
 from collections.abc import AsyncIterator
 from collections.abc import Sequence
@@ -12,7 +12,7 @@
 
 __all__ = ["HttpPlainTarget", "PlainAnswer", "PlainTarget"]
 
-# These belong to one connection, not to the request that crosses it.
+# Headers that belong to one connection and are not forwarded.
 _HOP_BY_HOP = frozenset(
     [
         b"connection",
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class PlainAnswer:
-    """An answer whose body is still to be read."""
+    """An answer whose body has not been read yet."""
 
     status: int
     headers: tuple[tuple[bytes, bytes], ...]
@@ -51,22 +51,23 @@
         body: bytes,
         timeout: float,
     ) -> contextlib.AbstractAsyncContextManager[PlainAnswer]:
-        """Pass a request on.
+        """Forward a request.
 
-        :raises magnoliacove.errors.RequestError: when no answer comes;
-            its outcome tells whether the request may have run.
+        :raises magnoliacove.errors.RequestError: if no answer arrives; the
+            error's outcome states whether the request may have run.
         """
 
 
 class HttpPlainTarget:
-    """Passes requests to a plain service over HTTP."""
+    """Forwards requests to a plain service over HTTP."""
 
     def __init__(self, url: str) -> None:
         self._url = url.rstrip("/")
-        # No retries: whether a request may run again is decided where its
-        # idempotency is known.  Nor is a connection used again: the target
-        # may close it just as a request goes out, and whether a request
-        # that may not be repeated ran would then be unknown.
+        # The pool does not retry: only the caller of this class knows
+        # whether a request is idempotent.  Connections are not reused,
+        # either: the target may close an idle connection while a request
+        # is being sent, and it would be unknown whether a request that
+        # must not be repeated has run.
         self._pool = httpcore.AsyncConnectionPool(
             max_connections=256, max_keepalive_connections=0, retries=0
         )
@@ -80,7 +81,7 @@
         body: bytes,
         timeout: float,
     ) -> AsyncIterator[PlainAnswer]:
-        """Pass a request on."""
+        """Forward a request."""
         limits = {"connect": 1.0, "read": timeout, "write": timeout}
         sent = False
         try:
@@ -104,18 +105,18 @@
                 yield PlainAnswer(
                     response.status, kept, response.aiter_stream()
                 )
-        except (httpcore.ConnectError, httpcore.ConnectTimeout) as why:
+        except (httpcore.ConnectError, httpcore.ConnectTimeout) as exc:
             raise errors.RequestError(
                 "target_unreachable",
                 "the service's instance cannot be reached; the request did "
                 "not run",
                 retry_after=1.0,
-            ) from why
+            ) from exc
         except (
             httpcore.NetworkError,
             httpcore.TimeoutException,
             httpcore.ProtocolError,
-        ) as why:
+        ) as exc:
             raise errors.RequestError(
                 "target_failed",
                 "the service's instance gave no whole answer"
@@ -123,7 +124,7 @@
                 else "the service's instance took the request but gave no "
                 "answer",
                 status=504
-                if isinstance(why, httpcore.TimeoutException)
+                if isinstance(exc, httpcore.TimeoutException)
                 else 502,
                 outcome=errors.Outcome.MAY_HAVE_RUN,
-            ) from why
+            ) from exc
