--- a/tests/configuration/test_document.py
+++ b/tests/configuration/test_document.py
@@ -1,4 +1,4 @@
-"""Checks of the configuration: each mistake is named with its remedy."""
+"""Checks of the configuration and their error messages."""
 
 import pytest
 from returns.result import Failure
@@ -48,20 +48,22 @@
 
 
 @pytest.mark.parametrize(("make", "remedy"), _MISTAKES)
-def test_mistakes_name_the_remedy(make, remedy):
+def test_errors_name_the_remedy(make, remedy):
     with pytest.raises(errors.UserError, match=remedy):
         result = _propose(_make_base(), c.Put(make()))
         raise result.failure()
 
 
-def test_what_is_referred_to_cannot_be_deleted():
+def test_a_referenced_object_cannot_be_deleted():
     result = _propose(_make_base(), c.Removal("service", "llm"))
     assert isinstance(result, Failure)
     assert "target t1" in str(result.failure())
 
 
-def test_changes_of_another_history_are_refused():
-    """A store was put back from a copy and hands out versions again."""
+def test_changes_of_another_history_are_rejected():
+    """A store that was restored from an older snapshot assigns versions
+    again; accepting such a change would mix two histories.
+    """
     base = _make_base()
     put = c.Put(c.Pipeline("p", ("llm",)))
     other = c.Document().apply(_propose(c.Document(), _BASE[0]).unwrap())
@@ -71,7 +73,7 @@
     assert base.apply(_propose(base, put).unwrap()).version == 2
 
 
-def test_service_rules():
+def test_non_idempotent_rules_of_a_service():
     service = c.Service(
         "desk", "plain", non_idempotent=("POST /bids", "* /once")
     )
--- a/tests/configuration/test_journal.py
+++ b/tests/configuration/test_journal.py
@@ -1,4 +1,4 @@
-"""The configuration's journal: one order of versions, whatever happens."""
+"""The journal keeps a single order of versions under faults and races."""
 
 import contextlib
 
@@ -32,10 +32,10 @@
 
 
 async def test_racing_operators_get_a_conflict(autojump_clock):
-    """Two operators change one object from the same version.
+    """Two operators change one object, both based on the same version.
 
-    The first gets the next version.  The second's change is checked again
-    on top of it and refused, since the object is newer than its base.
+    One change becomes the next version.  The other one is checked again on
+    top of it and rejected, because the object has changed since its base.
     """
     store = object_api.ObjectStore()
     one, two = configuration.Journal(store), configuration.Journal(store)
@@ -52,7 +52,7 @@
         nursery.start_soon(change, one, "2", 2.0)
         nursery.start_soon(change, two, "3", 3.0)
     failures = [r.failure() for r in results if isinstance(r, Failure)]
-    assert [type(why) for why in failures] == [errors.ConflictError]
+    assert [type(error) for error in failures] == [errors.ConflictError]
     assert "read it again" in str(failures[0])
     assert (await one.load()).version == 2
 
@@ -75,10 +75,10 @@
 
 
 async def test_lost_answer_is_recognised(autojump_clock):
-    """The write took effect and its answer was lost.
+    """A write takes effect and its answer is lost.
 
     The journal looks for the change id before it writes again, so the
-    change stands once, and a repeated call finds the first one's version.
+    change is applied once and a repeated call returns the first version.
     """
     store = object_api.ObjectStore()
     journal = configuration.Journal(store)
@@ -90,7 +90,7 @@
     assert (again.version, again.repeated) == (1, True)
 
 
-async def test_outage_says_whether_it_was_applied(autojump_clock):
+async def test_outage_reports_whether_the_change_was_applied(autojump_clock):
     store = object_api.ObjectStore()
     journal = configuration.Journal(store)
     store.faults.outage = True
@@ -101,17 +101,20 @@
     assert "same change id" in str(caught.value)
 
 
-async def test_writer_that_slept_through_a_compaction(autojump_clock):
-    """A process wakes with an old document after its change was compacted.
+async def test_writer_suspended_during_a_compaction(autojump_clock):
+    """A process resumes with an old document after a compaction.
 
-    The name of the version after its own is free again in the store, so
-    its write succeeds there; nobody would ever read it.  The checkpoint
-    shows that the version was taken, and the change goes on top instead.
+    The compaction freed the name of the next version, so the process's
+    write succeeds there, but nobody would read it.  The checkpoint shows
+    that the version was used; the change becomes the newest one instead.
     """
     store = object_api.ObjectStore()
-    sleeper, other = configuration.Journal(store), configuration.Journal(store)
+    suspended, other = (
+        configuration.Journal(store),
+        configuration.Journal(store),
+    )
     put = configuration.Put(_account("a"), 0)
-    old = (await _commit(sleeper, "1", put)).unwrap().document
+    old = (await _commit(suspended, "1", put)).unwrap().document
     document = old
     for number in range(2, 8):
         put = configuration.Put(_account("a", float(number)))
@@ -124,9 +127,9 @@
         "late", "ben", 0, (configuration.Put(_account("b"), 0),)
     ).unwrap()
     with pytest.raises(Exception, match="taken long ago"):
-        await sleeper._create(change)
+        await suspended._create(change)
     result = await _commit(
-        sleeper, "late", configuration.Put(_account("b"), 0), document=old
+        suspended, "late", configuration.Put(_account("b"), 0), document=old
     )
     assert result.unwrap().version == 8
     assert (await other.load()).find(configuration.ClientAccount, "b")
@@ -142,8 +145,10 @@
 
 
 @given(_STEPS)
-def test_every_reader_gets_the_same(steps):
-    """Whatever is lost or compacted, all readers agree on each version."""
+def test_all_readers_get_the_same_document(steps):
+    """All readers agree on each version despite lost answers, outages and
+    compactions.
+    """
 
     async def main():
         store = object_api.ObjectStore()
@@ -178,13 +183,13 @@
             if number % 3 == 0:
                 follower = await configuration.Journal(store).load(follower)
         store.faults.outage = False
-        fresh = await configuration.Journal(store).load()
+        newest = await configuration.Journal(store).load()
         follower = await configuration.Journal(store).load(follower)
-        assert fresh.version == follower.version >= accepted
-        assert fresh.digest == follower.digest
-        assert fresh.held == follower.held
-        copy = configuration.Document.from_bytes(fresh.to_bytes())
-        assert (copy.held, copy.digest) == (fresh.held, fresh.digest)
+        assert newest.version == follower.version >= accepted
+        assert newest.digest == follower.digest
+        assert newest.held == follower.held
+        copy = configuration.Document.from_bytes(newest.to_bytes())
+        assert (copy.held, copy.digest) == (newest.held, newest.digest)
 
     clock = trio.testing.MockClock(autojump_threshold=0)
     trio.run(main, clock=clock)
--- a/tests/operators/test_service.py
+++ b/tests/operators/test_service.py
@@ -1,4 +1,4 @@
-"""The operators' calls, as outside clients make them."""
+"""The operators' API, called by external clients."""
 
 import json
 
@@ -22,7 +22,7 @@
 
 
 def _call_grpc(url, method, request, reply, key=fleets.OPERATOR_KEY):
-    """Make a call with a stock gRPC client."""
+    """Make a call with the standard gRPC client."""
     with grpc.insecure_channel(url.removeprefix("http://")) as channel:
         call = channel.unary_unary(
             _SERVICE + method,
@@ -33,10 +33,10 @@
         return call(request, metadata=metadata, timeout=10)
 
 
-async def test_stock_grpc_client():
+async def test_standard_grpc_client():
     async with fleets.open_fleet() as fleet:
         request = pb.ReadRequest(kind="target")
-        found = await _IN_THREAD(
+        targets = await _IN_THREAD(
             _call_grpc, _url(fleet), "Read", request, pb.ReadResponse
         )
         with pytest.raises(grpc.RpcError) as denied:
@@ -56,7 +56,7 @@
                 pb.ReadRequest(kind="target", name="no"),
                 pb.ReadResponse,
             )
-    names = [item.item.value.name for item in found.items]
+    names = [item.item.value.name for item in targets.items]
     assert names == sorted(fleet.agents)
     assert denied.value.code() is grpc.StatusCode.UNAUTHENTICATED
     assert missing.value.code() is grpc.StatusCode.NOT_FOUND
@@ -67,8 +67,8 @@
     async with fleets.open_fleet() as fleet:
 
         async def send(method, body, headers=None):
-            # A server may close a connection whose body it did not read,
-            # so each call has a connection of its own.
+            # Each call uses a connection of its own, because a server may
+            # close a connection whose request body it did not read.
             caller = fleets.Caller(_url(fleet), fleets.OPERATOR_KEY)
             path = _SERVICE + method
             return await caller.request("POST", path, body, headers)
@@ -78,7 +78,7 @@
             return answer.status, json.loads(answer.content or b"{}")
 
         status = await post("GetStatus", b"{}")
-        broken = await post("Read", b"{")
+        malformed = await post("Read", b"{")
         empty = await post("Apply", b'{"operations": []}')
         unknown = await send("No", b"{}")
         text = await send("Read", b"{}" * 10**6)
@@ -87,7 +87,7 @@
     assert status[0] == 200
     assert all(s["served"] for s in status[1]["services"])
     assert {i["state"] for i in status[1]["instances"]} == {"live"}
-    assert broken[1]["code"] == "invalid_argument"
+    assert malformed[1]["code"] == "invalid_argument"
     assert "change_id" in empty[1]["message"]
     assert unknown.status == 404
     assert text.status >= 400
@@ -95,7 +95,9 @@
 
 
 async def test_conflicts_and_repeats():
-    """Racing operators get a typed conflict, a repeat its first answer."""
+    """Racing operators get a typed conflict; a repeated call returns the
+    result of the first one.
+    """
     account = configuration.ClientAccount("new")
     put = conversion.write_put(account, 0)
     async with fleets.open_fleet() as fleet:
@@ -123,14 +125,14 @@
     assert (again.version, again.already_applied) == (before + 1, True)
 
 
-async def test_lost_answer_of_the_store():
+async def test_lost_answer_from_the_store():
     async with fleets.open_fleet() as fleet:
         client = clients.OperatorsClient(_url(fleet), fleets.OPERATOR_KEY)
         fleet.store.faults.lost_answers = 1
         put = conversion.write_put(configuration.ClientAccount("new"), 0)
         result = await _IN_THREAD(client.apply, [put])
-        found = await _IN_THREAD(client.read, "client_account", "new")
-    assert result.version == found.items[0].version
+        stored = await _IN_THREAD(client.read, "client_account", "new")
+    assert result.version == stored.items[0].version
 
 
 async def test_orders_reach_engines():
--- a/tests/platform/samples.py
+++ b/tests/platform/samples.py
@@ -1,8 +1,8 @@
-"""Messages of the platform, with names of this file's own."""
+"""Sample messages of the platform with invented names."""
 
 import json
 
-# An engine's entry among the servers, of one that holds nothing yet.
+# The entry of an engine that has no layers loaded yet.
 ENTRY = {
     "service": "llm",
     "address": "10.0.0.1:80",
--- a/tests/platform/test_client.py
+++ b/tests/platform/test_client.py
@@ -1,4 +1,4 @@
-"""What the store answers when others have written into it."""
+"""Answers of the store that contain other clients' writes."""
 
 import orjson
 
@@ -9,10 +9,10 @@
     return {"metadata": {"name": name, "revision": 3}, "spec": spec}
 
 
-def test_bytes_that_are_no_text_spoil_one_value_only():
-    """Somebody writes bytes that are no text as an engine's entry.  The
-    whole list comes in one answer: if it cannot be decoded, no engine is
-    known any more and every request is refused.
+def test_invalid_utf8_affects_only_one_value():
+    """Another client writes invalid UTF-8 as an engine's entry.  The whole
+    list arrives in one answer: if decoding fails, no engine is listed any
+    more and every request is refused.
     """
     body = orjson.dumps({"items": [_item("i-1", {"a": 1}), _item("i-2", "@")]})
     data = client._load(body.replace(b"@", b"\xff\xfe"))
@@ -23,7 +23,7 @@
     assert records[0].value == b'{"a":1}'
 
 
-def test_objects_without_a_name_are_left_out():
+def test_objects_without_a_name_are_skipped():
     items = [None, 7, {"spec": {}}, {"metadata": {"name": 5}}, _item("x", 1)]
     records = list(
         client.HttpObjectApi("http://x")._read_all("servers", items)
--- a/tests/platform/test_contract.py
+++ b/tests/platform/test_contract.py
@@ -1,4 +1,4 @@
-"""The object API's contract, in this process and over HTTP."""
+"""Contract tests of the object API, in this process and over HTTP."""
 
 import contextlib
 
@@ -51,7 +51,7 @@
         assert await api.watch("a/", revision, 0.05) == ((), revision)
 
 
-# Each fault, the call that meets it, and the outcome that must be told.
+# Each fault, the call that it affects and the outcome to be reported.
 _FAULTS = [
     ({"outage": True}, "put", errors.Outcome.NOT_RUN),
     ({"outage": True}, "get", errors.Outcome.NOT_RUN),
@@ -64,7 +64,7 @@
 
 @_BOTH
 @pytest.mark.parametrize(("faults", "call", "outcome"), _FAULTS)
-async def test_faults_tell_the_outcome(over_http, faults, call, outcome):
+async def test_faults_report_the_outcome(over_http, faults, call, outcome):
     async with _open(over_http) as (store, api):
         version = await api.put("k/a", b"1")
         for name, value in faults.items():
@@ -80,12 +80,12 @@
         with pytest.raises(errors.PlatformError) as caught:
             await calls[call]()
         assert caught.value.outcome is outcome
-        ran = (await store_value(store)) != b"1"
+        ran = (await _read_stored_value(store)) != b"1"
         assert ran == (outcome is errors.Outcome.MAY_HAVE_RUN)
 
 
-async def store_value(store):
-    """Return what really stands in the store, whatever the faults."""
+async def _read_stored_value(store):
+    """Return the value in the store, without any faults."""
     store.faults = object_api.Faults()
     record = await store.get("k/a")
     return record.value if record else None
@@ -100,7 +100,7 @@
             await api.watch("k/", 0, 1.0)
 
 
-async def test_nobody_listens():
+async def test_connection_refused():
     api = platform.HttpObjectApi("http://127.0.0.1:9")
     with pytest.raises(errors.PlatformError) as caught:
         await api.put("k/a", b"1")
--- a/tests/platform/test_engines.py
+++ b/tests/platform/test_engines.py
@@ -27,7 +27,7 @@
     return read_server(platform.Record("servers/i-1", 9, value))
 
 
-def test_an_entry():
+def test_entry_is_decoded():
     target = _read()
     assert target.name == "i-1"
     assert target.draining
@@ -45,12 +45,12 @@
         ({"slots": "many"}, "slots"),
     ],
 )
-def test_an_entry_that_cannot_be_read(changes, named):
+def test_invalid_entry_is_rejected(changes, named):
     with pytest.raises(errors.ProtocolError, match=named):
         _read(**changes)
 
 
-def test_a_report():
+def test_report_is_decoded():
     body = json.dumps(
         {
             "layers": {"from": 0, "to": 34},
@@ -68,14 +68,14 @@
     assert report.orders == 2
     assert report.slowness == 3.0
     assert report.stalled[0].request == "abc"
-    for broken in (b"", b"[]", b'{"busy": "no"}'):
+    for malformed in (b"", b"[]", b'{"busy": "no"}'):
         with pytest.raises(errors.ProtocolError):
-            engines.read_report(broken)
+            engines.read_report(malformed)
 
 
-def test_an_order_names_the_orders_before_it():
-    """An order that is carried out late must not undo a newer one: the
-    engine compares the number of orders that it has begun.
+def test_order_states_the_number_of_earlier_orders():
+    """A delayed order must not undo a newer one, so the engine compares the
+    number in the order with the number of orders that it has begun.
     """
     body = engines.write_place_order(
         LayerRange(20, 31), interrupt=True, orders=4
@@ -92,8 +92,10 @@
     assert engines.read_order_result(404) is engines.OrderResult.REFUSED
 
 
-def test_leaving_is_told_by_the_engine_itself():
-    """Another engine may have the address by now; its word counts not."""
+def test_only_the_engine_itself_reports_that_it_leaves():
+    """An answer of another engine that has taken over the address is not
+    about this engine.
+    """
     own = [(b"x-instance-id", b"i-1")]
     assert engines.reports_leaving(503, own, "i-1")
     assert not engines.reports_leaving(503, own, "i-2")
--- a/tests/platform/test_eras.py
+++ b/tests/platform/test_eras.py
@@ -1,4 +1,4 @@
-"""A store that came back from a copy, as its client sees it."""
+"""The store's client across restores from an older snapshot."""
 
 import contextlib
 from dataclasses import dataclass
@@ -19,7 +19,7 @@
 
 
 @given(st.integers(0, MAX_ERA), st.integers(0, 2**40 - 1))
-def test_a_revision_holds_both_numbers(era, number):
+def test_a_revision_contains_both_numbers(era, number):
     joined = join_revision(era, number)
     assert split_revision(joined) == (era, number)
     assert joined < 2**63
@@ -31,15 +31,15 @@
     assert sorted(joined) == [join_revision(*pair) for pair in sorted(pairs)]
 
 
-def test_each_rise_is_told_once():
-    told = []
+def test_each_newer_era_is_reported_once():
+    reported = []
     era = StoreEra()
-    era.listen(lambda number, source: told.append((number, source)))
-    news = [(3, "a"), (3, "b"), (4, "c"), (3, "d"), (4, "e"), (6, "f")]
-    taken = [era.note(number, source) for number, source in news]
-    # The first one is no news: nothing was known before it.
-    assert told == [(4, "c"), (6, "f")]
-    assert taken == [True, True, True, False, True, True]
+    era.listen(lambda number, source: reported.append((number, source)))
+    notes = [(3, "a"), (3, "b"), (4, "c"), (3, "d"), (4, "e"), (6, "f")]
+    accepted = [era.note(number, source) for number, source in notes]
+    # The first era is not reported, because no earlier one was received.
+    assert reported == [(4, "c"), (6, "f")]
+    assert accepted == [True, True, True, False, True, True]
 
 
 @dataclass(frozen=True)
@@ -60,14 +60,14 @@
 
 
 class _Pool:
-    """Answers calls from a list, in any order that a test wants."""
+    """Answers calls with the given answers, in their order."""
 
     def __init__(self, *answers):
-        self.asked = []
+        self.calls = []
         self._answers = list(answers)
 
     async def request(self, method, url, **others):
-        self.asked.append((method, url, others.get("content")))
+        self.calls.append((method, url, others.get("content")))
         await trio.lowlevel.checkpoint()
         return self._answers.pop(0)
 
@@ -78,9 +78,9 @@
     return api
 
 
-async def test_a_late_answer_of_a_former_era_is_dropped():
-    """A call waits on a connection while another one tells that the store
-    came back.  What the first then brings is of a time that never was.
+async def test_a_late_answer_of_an_earlier_era_is_discarded():
+    """A call is delayed on one connection while another call reports that
+    the store was restored.  The data of the delayed answer is not valid.
     """
     api = _open(_answer(2, _object(5)), _answer(1, _object(9)))
     assert (await api.get("k/x")).version == join_revision(2, 5)
@@ -90,7 +90,7 @@
 
 
 @pytest.mark.parametrize("status", [404, 409, 410, 429, 503])
-async def test_errors_tell_the_era_too(status):
+async def test_errors_report_the_era_too(status):
     api = _open(_answer(1, _object(5)), _answer(2, {}, status))
     await api.get("k/x")
     with contextlib.suppress(errors.Error):
@@ -98,55 +98,55 @@
     assert api.era.number == 2
 
 
-async def test_a_condition_of_a_former_era_is_not_sent():
-    """A number that is given out again would fit by accident, and a write
-    would take the place of one that its writer never saw.
+async def test_a_condition_of_an_earlier_era_is_not_sent():
+    """A number that the store assigns again may match by accident, and a
+    write would overwrite a change that its writer never read.
     """
     api = _open(_answer(1, _object(5)), _answer(2, _object(5)))
     version = (await api.get("k/x")).version
     await api.get("k/x")
-    asked = len(api._pool.asked)
+    calls = len(api._pool.calls)
     with pytest.raises(platform.VersionConflictError):
         await api.put("k/x", b"1", version)
     with pytest.raises(platform.VersionConflictError):
         await api.delete("k/x", version)
     with pytest.raises(platform.CompactedError):
         await api.watch("k/", version, 1.0)
-    assert len(api._pool.asked) == asked
+    assert len(api._pool.calls) == calls
 
 
-async def test_a_condition_that_fitted_by_accident_is_no_success():
-    """The write's own answer is the first to tell of the new era: it was
-    taken on the ground of a revision that now is another's.
+async def test_a_condition_that_matched_by_accident_is_a_conflict():
+    """The answer to the write is the first to report the new era: the store
+    accepted the write because of a reused number.
     """
     api = _open(_answer(1, _object(5)), _answer(2, _object(6)))
     version = (await api.get("k/x")).version
     with pytest.raises(platform.VersionConflictError):
         await api.put("k/x", b"1", version)
-    again = _open(_answer(1, _object(5)), _answer(2, {"as_of": 7}))
-    version = (await again.get("k/x")).version
+    watcher = _open(_answer(1, _object(5)), _answer(2, {"as_of": 7}))
+    version = (await watcher.get("k/x")).version
     with pytest.raises(platform.CompactedError):
-        await again.watch("k/", version, 1.0)
+        await watcher.watch("k/", version, 1.0)
 
 
 async def test_pages_of_two_eras_are_read_again():
-    """The store comes back between two pages of a listing."""
+    """The store is restored between two pages of a listing."""
     first = {"items": [_object(5)], "has_more": True, "as_of": 9}
     last = {"items": [], "has_more": False, "as_of": 3}
-    whole = {"items": [_object(2)], "has_more": False, "as_of": 4}
-    api = _open(_answer(1, first), _answer(2, last), _answer(2, whole))
+    complete = {"items": [_object(2)], "has_more": False, "as_of": 4}
+    api = _open(_answer(1, first), _answer(2, last), _answer(2, complete))
     listing = await api.list_records("k/")
     assert listing.revision == join_revision(2, 4)
     assert [r.version for r in listing.records] == [join_revision(2, 2)]
 
 
-async def test_a_store_that_tells_no_era_is_served_as_before():
+async def test_a_store_without_a_valid_era_is_accepted():
     plain = _Response(200, [], orjson.dumps(_object(5)))
     api = _open(
         plain,
         *(
-            _Response(200, [(b"store-era", odd)], orjson.dumps(_object(6)))
-            for odd in (b"x", b"", b"-1", b"9" * 40)
+            _Response(200, [(b"store-era", invalid)], orjson.dumps(_object(6)))
+            for invalid in (b"x", b"", b"-1", b"9" * 40)
         ),
     )
     assert (await api.get("k/x")).version == 5
@@ -163,8 +163,8 @@
     )
 )
 def test_no_order_of_answers_mixes_eras(order):
-    """Answers of two eras come in any order.  After the first of the later
-    era none of the earlier one is believed.
+    """Answers of two eras arrive in any order.  After the first answer of
+    the later era, none of the earlier era is accepted.
     """
 
     async def read():
@@ -174,7 +174,7 @@
             try:
                 seen.append((await api.get("k/x")).version)
             except errors.PlatformError:
-                # It was of the earlier era.
+                # The answer was of the earlier era.
                 continue
         return [split_revision(version)[0] for version in seen]
 
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -1,4 +1,4 @@
-"""Headers on the way to a target and back."""
+"""Headers of requests to targets and of their answers."""
 
 from magnoliacove.directory.listed import ListedTarget
 from magnoliacove.platform import headers
@@ -32,18 +32,19 @@
     return dict(headers.write_request(_CALLER, **values))
 
 
-def test_a_caller_is_read():
-    marks = headers.read_caller(_CALLER)
-    assert marks.request == "abc"
-    assert marks.key == "k1"
-    assert marks.timeout == 20.0
-    assert (marks.prompt_tokens, marks.max_answer_tokens) == (760, 80)
+def test_caller_headers_are_decoded():
+    decoded = headers.read_caller(_CALLER)
+    assert decoded.request == "abc"
+    assert decoded.key == "k1"
+    assert decoded.timeout == 20.0
+    assert (decoded.prompt_tokens, decoded.max_answer_tokens) == (760, 80)
     assert headers.read_caller([(b"authorization", b"Basic k1")]).key == ""
 
 
-def test_a_target_never_sees_the_key_nor_a_forged_header():
-    """The caller names an account and a path of its own; the target gets
-    the account that holds the key, and the path that was chosen here.
+def test_a_target_receives_neither_the_key_nor_a_forged_header():
+    """A caller that sends an account and a path must not impersonate
+    another account or choose engines: the target receives the account that
+    the key belongs to and the path that the gateway chose.
     """
     written = _write()
     assert b"authorization" not in written
@@ -54,17 +55,17 @@
     assert written[b"x-prefix-hash"] == b"a:1,b:2"
 
 
-def test_headers_of_one_connection_stay_there():
+def test_hop_by_hop_headers_are_not_forwarded():
     written = _write()
     assert b"x-mine" not in written
     assert b"connection" not in written
 
 
-def test_no_account_leaves_no_name():
+def test_no_account_sends_no_account_header():
     assert b"x-tenant" not in _write(account="")
 
 
-def test_a_path_is_written_in_order():
+def test_a_path_is_encoded_in_order():
     stages = (
         PathStage("i-1", Address("10.0.0.1", 80), "a", 0, 20),
         PathStage("i-2", Address("10.0.0.2", 81), "a", 20, 80),
@@ -74,8 +75,8 @@
     assert written[b"last-event-id"] == b"12"
 
 
-def test_an_answer_is_read():
-    marks = headers.read_answer(
+def test_answer_headers_are_decoded():
+    decoded = headers.read_answer(
         503,
         [
             (b"x-not-executed", b"1"),
@@ -83,17 +84,17 @@
             (b"at-server", b"10.0.0.2:80"),
         ],
     )
-    assert marks.not_run
-    assert not marks.stamped
-    assert marks.faulty == "10.0.0.2:80"
-    assert (marks.running, marks.waiting, marks.slots) == (3, 1, 8)
+    assert decoded.not_run
+    assert not decoded.stamped
+    assert decoded.faulty == "10.0.0.2:80"
+    assert (decoded.running, decoded.waiting, decoded.slots) == (3, 1, 8)
     assert headers.read_answer(421, []).not_run
     assert not headers.read_answer(503, []).not_run
-    odd = headers.read_answer(200, [(b"x-server-load", b"many")])
-    assert odd.running is None
+    malformed = headers.read_answer(200, [(b"x-server-load", b"many")])
+    assert malformed.running is None
 
 
-def test_an_answer_keeps_all_but_its_connection():
+def test_an_answer_keeps_all_but_hop_by_hop_headers():
     copied = headers.copy_answer(
         [
             (b"x-response-stamp", b"s"),
--- a/tests/platform/test_notices.py
+++ b/tests/platform/test_notices.py
@@ -1,4 +1,4 @@
-"""What answers say of the targets that gave them."""
+"""What the headers of answers report about their targets."""
 
 import pytest
 
@@ -15,18 +15,20 @@
         (421, [(b"server-leaving", b"1")], TargetNotice(leaving=True)),
         (200, [(b"server-leaving", b"0")], TargetNotice()),
         (503, [(b"retry-after", b"2.5")], TargetNotice(rest=2.5)),
-        # Of another status it is no wish to be left alone.
+        # With another status it does not ask for a back-off.
         (429, [(b"retry-after", b"2.5")], TargetNotice()),
     ],
 )
-def test_each_word_is_read_from_any_answer(status, headers, expected):
+def test_each_header_is_decoded_from_any_answer(status, headers, expected):
     assert read_notice(status, headers) == expected
 
 
 @pytest.mark.parametrize("text", [b"soon", b"nan", b"inf", b"-1", b""])
-def test_a_number_without_meaning_is_told_and_not_heeded(text):
-    found = read_notice(503, [(b"server-limit", text), (b"retry-after", text)])
-    assert found.rate_limit is None
-    assert found.rest == 0.0
-    assert "server-limit" in found.unreadable
-    assert "retry-after" in found.unreadable
+def test_an_invalid_number_is_reported_and_ignored(text):
+    notice = read_notice(
+        503, [(b"server-limit", text), (b"retry-after", text)]
+    )
+    assert notice.rate_limit is None
+    assert notice.rest == 0.0
+    assert "server-limit" in notice.unreadable
+    assert "retry-after" in notice.unreadable
--- a/tests/platform/test_routes.py
+++ b/tests/platform/test_routes.py
@@ -1,4 +1,4 @@
-"""The operator's configuration becomes the product's route table."""
+"""Decoding of the operator's configuration into the route table."""
 
 import random
 
@@ -35,38 +35,39 @@
     ],
 )
 def test_longest_prefix(path, name):
-    """A request takes the route with the longest prefix that begins it."""
+    """A request uses the route with the longest matching prefix."""
     table = read_routes(samples.CONFIGURATION)
-    found = table.find_route("lots.example", path)
-    assert (found.name if found else None) == name
+    route = table.find_route("lots.example", path)
+    assert (route.name if route else None) == name
 
 
 def test_shares_follow_weights():
     route = read_routes(samples.CONFIGURATION).routes[0]
     rng = random.Random(1)
-    drawn = [route.choose_service(rng) for _ in range(2000)]
-    assert 0.87 < drawn.count("llm") / len(drawn) < 0.93
+    chosen = [route.choose_service(rng) for _ in range(2000)]
+    assert 0.87 < chosen.count("llm") / len(chosen) < 0.93
 
 
-def test_a_model_has_its_shape():
+def test_model_shape_is_decoded():
     shape = read_routes(samples.CONFIGURATION).services["llm"].model
     assert shape.layers == 80
-    # 72,000 MB less 40 layers of 1,750, over 1.18 MB / 80 a token-layer.
+    # 72,000 MB minus 40 layers of 1,750 MB, divided by 1.18 MB / 80 for
+    # each token-layer.
     assert shape.compute_capacity("h100", 40) == pytest.approx(
         135_593, rel=1e-3
     )
     assert shape.compute_capacity("l4", 13) == 0.0
 
 
-def test_how_an_engine_reads_prompts_may_be_told_or_not():
-    """Without the fields a pass is one step, and reads 512 tokens."""
-    told = {**samples.ENGINE, "chunk": 1024, "stride": 4}
-    services = [{"name": "llm", "engine": told}]
+def test_prefill_settings_are_optional():
+    """Without the fields a pass is one step and reads 512 tokens."""
+    engine = {**samples.ENGINE, "chunk": 1024, "stride": 4}
+    services = [{"name": "llm", "engine": engine}]
     spec = {**samples.CONFIGURATION, "services": services}
     shape = read_routes(spec).services["llm"].model
     assert (shape.prefill_chunk, shape.steps_per_pass) == (1024.0, 4)
-    plain = read_routes(samples.CONFIGURATION).services["llm"].model
-    assert (plain.prefill_chunk, plain.steps_per_pass) == (512.0, 1)
+    default = read_routes(samples.CONFIGURATION).services["llm"].model
+    assert (default.prefill_chunk, default.steps_per_pass) == (512.0, 1)
 
 
 @pytest.mark.parametrize(
@@ -79,6 +80,6 @@
         ({"tenants": [{"api_keys": []}]}, "name"),
     ],
 )
-def test_mistakes_name_the_field(changes, named):
+def test_errors_name_the_field(changes, named):
     with pytest.raises(errors.ProtocolError, match=named):
         read_routes({**samples.CONFIGURATION, **changes})
--- a/tests/platform/test_servers.py
+++ b/tests/platform/test_servers.py
@@ -1,4 +1,4 @@
-"""Entries of engines, as engines and as others write them."""
+"""Engine entries written by engines and by other clients."""
 
 import orjson
 import pytest
@@ -23,8 +23,8 @@
 
 def _read(name="i-1", **changes):
     values = {**_ENTRY, **changes}
-    kept = {key: value for key, value in values.items() if value != "none"}
-    return read_server(Record(f"servers/{name}", 9, orjson.dumps(kept)))
+    entry = {key: value for key, value in values.items() if value != "none"}
+    return read_server(Record(f"servers/{name}", 9, orjson.dumps(entry)))
 
 
 def test_an_engine_is_named_by_its_entry_and_its_start():
@@ -64,9 +64,9 @@
         ("kind", 4),
     ],
 )
-def test_an_entry_of_another_writer_names_no_engine(field, value):
-    """Somebody else writes an entry among those of the engines.  Requests
-    that went where it points would be answered by anybody, or by nobody.
+def test_an_entry_in_another_format_is_rejected(field, value):
+    """Another client writes an entry among those of the engines.  Requests
+    sent to its address might be answered by any process, or by none.
     """
     with pytest.raises(errors.ProtocolError, match=field):
         _read(**{field: value})
@@ -75,12 +75,12 @@
 @pytest.mark.parametrize(
     "value", [b"", b"null", b"[]", b'"i-1"', b"7", b"\xff\xfe{", b"{"]
 )
-def test_bytes_that_are_no_entry_name_no_engine(value):
+def test_malformed_bytes_are_rejected(value):
     with pytest.raises(errors.ProtocolError):
         read_server(Record("servers/i-1", 9, value))
 
 
 @pytest.mark.parametrize("name", ["", "i 1", "i-1\r\nx: y", "\u00ef"])
-def test_a_name_that_no_header_can_carry_names_no_engine(name):
+def test_a_name_not_allowed_in_a_header_is_rejected(name):
     with pytest.raises(errors.ProtocolError, match="name"):
         _read(name=name)
