--- a/magnoliacove/commands/operate.py
+++ b/magnoliacove/commands/operate.py
@@ -86,7 +86,7 @@
     found = session.client.read(kind, name).items[0]
     item = conversion.read_item(found)
     session.show(
-        _describe(item, found.version), files.write_file([item]).rstrip()
+        _describe(item, found.version), files.format_objects([item]).rstrip()
     )
 
 
@@ -281,7 +281,7 @@
 @click.pass_obj
 def _plan(session: _Session, path: Any, prune: bool) -> None:
     """Show what applying a file would change."""
-    operations = _compare(session, files.parse_file(path.read()), prune)
+    operations = _compare(session, files.parse_objects(path.read()), prune)
     _show_plan(session, operations)
 
 
@@ -292,7 +292,7 @@
 @click.pass_obj
 def _apply_file(session: _Session, path: Any, prune: bool, yes: bool) -> None:
     """Make the configuration what a file says, as one version."""
-    operations = _compare(session, files.parse_file(path.read()), prune)
+    operations = _compare(session, files.parse_objects(path.read()), prune)
     if not operations:
         session.show({"version": None}, "nothing to change")
         return
@@ -311,7 +311,7 @@
         for kind in configuration.KINDS
         for item in session.client.read(kind).items
     ]
-    click.echo(files.write_file(found).rstrip())
+    click.echo(files.format_objects(found).rstrip())
 
 
 def _compare(
--- a/magnoliacove/configuration/__init__.py
+++ b/magnoliacove/configuration/__init__.py
@@ -7,9 +7,9 @@
 if TYPE_CHECKING:
     from magnoliacove.configuration.document import Change
     from magnoliacove.configuration.document import Document
-    from magnoliacove.configuration.document import Held
     from magnoliacove.configuration.document import Put
     from magnoliacove.configuration.document import Removal
+    from magnoliacove.configuration.document import VersionedObject
     from magnoliacove.configuration.journal import PREFIX
     from magnoliacove.configuration.journal import Journal
     from magnoliacove.configuration.objects import KINDS
@@ -28,7 +28,7 @@
         {
             "Change": "document",
             "Document": "document",
-            "Held": "document",
+            "VersionedObject": "document",
             "Put": "document",
             "Removal": "document",
             "PREFIX": "journal",
@@ -54,7 +54,7 @@
     "ConfigurationObject",
     "DataCentre",
     "Document",
-    "Held",
+    "VersionedObject",
     "Journal",
     "Pipeline",
     "Put",
--- a/magnoliacove/configuration/document.py
+++ b/magnoliacove/configuration/document.py
@@ -22,7 +22,7 @@
 from magnoliacove import errors
 from magnoliacove.configuration import objects
 
-__all__ = ["Change", "Document", "Held", "Put", "Removal"]
+__all__ = ["Change", "Document", "VersionedObject", "Put", "Removal"]
 
 # Number of recent change ids in a document; a repeated call is recognised by
 # them.
@@ -118,7 +118,7 @@
 
 
 @dataclass(frozen=True)
-class Held:
+class VersionedObject:
     """An object and the versions in which it was last changed and created."""
 
     item: objects.ConfigurationObject
@@ -132,7 +132,7 @@
 
     version: int = 0
     digest: str = _INITIAL_DIGEST
-    held: Mapping[Key, Held] = field(
+    held: Mapping[Key, VersionedObject] = field(
         default_factory=lambda: MappingProxyType({})
     )
     change_ids: tuple[tuple[str, int], ...] = ()
@@ -205,7 +205,9 @@
             key = (operation.kind, operation.name)
             previous = held.get(key)
             created = previous.created if previous else change.version
-            held[key] = Held(operation.item, change.version, created)
+            held[key] = VersionedObject(
+                operation.item, change.version, created
+            )
         ids = (*self.change_ids, (change.change_id, change.version))
         digest = hashlib.sha256(change.to_bytes()).hexdigest()[:16]
         return Document(
@@ -312,7 +314,9 @@
             held = {}
             for kind, item_values, version, created in values["items"]:
                 item = objects.make_object(kind, item_values)
-                held[(kind, item.name)] = Held(item, version, created)
+                held[(kind, item.name)] = VersionedObject(
+                    item, version, created
+                )
             ids = tuple(
                 (change_id, version)
                 for change_id, version in values["change_ids"]
--- a/magnoliacove/operators/files.py
+++ b/magnoliacove/operators/files.py
@@ -10,10 +10,10 @@
 from magnoliacove import configuration
 from magnoliacove import errors
 
-__all__ = ["parse_file", "write_file"]
+__all__ = ["parse_objects", "format_objects"]
 
 
-def parse_file(
+def parse_objects(
     text: str,
 ) -> list[configuration.ConfigurationObject]:
     """Return the checked objects of a file.
@@ -46,7 +46,7 @@
     return items
 
 
-def write_file(
+def format_objects(
     items: Sequence[configuration.ConfigurationObject],
 ) -> str:
     """Return the text of a file that describes objects."""
