--- a/magnoliacove/placement/balance.py
+++ b/magnoliacove/placement/balance.py
@@ -117,7 +117,7 @@
     engine: EngineState, layers: LayerRange, shape: ModelShape
 ) -> float:
     """Return how many tokens fit in an engine's memory beside its layers."""
-    capacity = shape.count_room(engine.accelerator, layers.count)
+    capacity = shape.compute_capacity(engine.accelerator, layers.count)
     return capacity / layers.count
 
 
--- a/magnoliacove/platform/headers.py
+++ b/magnoliacove/platform/headers.py
@@ -1,4 +1,4 @@
-"""The header names that callers and engines use, and their formats."""
+"""Names and formats of the HTTP headers of callers and engines."""
 
 from collections.abc import Iterable
 from collections.abc import Sequence
@@ -8,11 +8,11 @@
 from magnoliacove.routing.paths import Path
 
 __all__ = [
-    "AnswerMarks",
-    "CallerMarks",
+    "AnswerHeaders",
+    "CallerHeaders",
     "copy_answer",
     "read_answer",
-    "read_answered",
+    "read_request_id",
     "read_caller",
     "write_path",
     "write_refusal",
@@ -38,10 +38,10 @@
 _FAULTY = b"at-server"
 _RETRY_AFTER = b"retry-after"
 _KEY_SCHEME = b"token"
-# Priorities that engines know; 0 goes first.
+# Engines accept priorities from 0, the most urgent, to this one.
 _LOWEST_PRIORITY = 9
 
-# These concern one connection only.
+# Headers that apply to a single connection and are not forwarded.
 _HOP_BY_HOP = frozenset(
     [
         b"connection",
@@ -56,8 +56,8 @@
         b"expect",
     ]
 )
-# What the system sets itself, whatever a caller sent.
-_OURS = frozenset(
+# Headers that the gateway sets itself; a caller's values are discarded.
+_SET_BY_GATEWAY = frozenset(
     [
         _DEADLINE,
         _TENANT,
@@ -73,38 +73,42 @@
 
 
 @dataclass(frozen=True)
-class CallerMarks:
-    """What a caller's headers say.
+class CallerHeaders:
+    """The decoded headers of a caller's request.
 
     :param request: the id of this attempt of the caller.
     :param key: the API key, or "".
-    :param patience: seconds that the caller waits, or None.
-    :param last_event: the last event that the caller has, or "".
-    :param prompt_tokens: the length of a prompt, 0 when unknown.
-    :param most_tokens: the most tokens that the answer may have.
-    :param likely_tokens: the caller's estimate of the answer's length.
+    :param timeout: seconds that the caller waits, or None.
+    :param last_event: the id of the last event that the caller received,
+        or "".
+    :param prompt_tokens: length of the prompt in tokens, 0 if unknown.
+    :param max_answer_tokens: maximum length of the answer in tokens, 0 if
+        unknown.
+    :param expected_tokens: the caller's estimate of the answer's length in
+        tokens, 0 if unknown.
     """
 
     request: str
     key: str
-    patience: float | None
+    timeout: float | None
     last_event: str
     prompt_tokens: int
-    most_tokens: int
-    likely_tokens: int
+    max_answer_tokens: int
+    expected_tokens: int
 
 
 @dataclass(frozen=True)
-class AnswerMarks:
-    """What a target's headers say.
+class AnswerHeaders:
+    """The decoded headers of a target's answer.
 
     :param request: the id of the request that is answered, or "".
-    :param stamped: the answer proves that a target gave it.
-    :param not_run: the target says that the request did not run.
-    :param faulty: the address of the engine at fault, or "".
-    :param running: requests that run there, or None when not told.
-    :param waiting: requests that wait there.
-    :param slots: how many may run there.
+    :param stamped: whether the answer carries the stamp that proves that a
+        target sent it.
+    :param not_run: whether the target reports that the request did not run.
+    :param faulty: the address of the engine that failed, or "".
+    :param running: requests running at the target, or None if not reported.
+    :param waiting: requests queued at the target.
+    :param slots: maximum number of requests running at the target.
     """
 
     request: str
@@ -116,43 +120,43 @@
     slots: int = 0
 
 
-def read_caller(headers: Headers) -> CallerMarks:
+def read_caller(headers: Headers) -> CallerHeaders:
     """Decode a caller's headers."""
     values = dict(headers)
     scheme, _, key = values.get(_AUTHORIZATION, b"").partition(b" ")
-    prompt, _, most = values.get(_TOKENS, b"").partition(b",")
-    patience = _read_count(values.get(_DEADLINE, b""))
-    return CallerMarks(
+    prompt, _, max_answer = values.get(_TOKENS, b"").partition(b",")
+    timeout = _read_count(values.get(_DEADLINE, b""))
+    return CallerHeaders(
         request=values.get(_REQUEST_ID, b"").decode("latin-1"),
         key=key.strip().decode("latin-1")
         if scheme.lower() == _KEY_SCHEME
         else "",
-        patience=patience / 1000 if patience is not None else None,
+        timeout=timeout / 1000 if timeout is not None else None,
         last_event=values.get(_LAST_EVENT, b"").decode("latin-1"),
         prompt_tokens=_read_count(prompt) or 0,
-        most_tokens=_read_count(most) or 0,
-        likely_tokens=_read_count(values.get(_LENGTH_HINT, b"")) or 0,
+        max_answer_tokens=_read_count(max_answer) or 0,
+        expected_tokens=_read_count(values.get(_LENGTH_HINT, b"")) or 0,
     )
 
 
-def read_answered(headers: Headers) -> str:
-    """Return the id of the request that a target answers, or ""."""
+def read_request_id(headers: Headers) -> str:
+    """Return the id of the request that an answer belongs to, or ""."""
     return dict(headers).get(_REQUEST_ID, b"").decode("latin-1")
 
 
-def read_answer(status: int, headers: Headers) -> AnswerMarks:
+def read_answer(status: int, headers: Headers) -> AnswerHeaders:
     """Decode a target's headers."""
     values = dict(headers)
     load = [_read_count(p) for p in values.get(_LOAD, b"").split(b",")]
-    known = len(load) == 3 and None not in load
-    return AnswerMarks(
-        request=read_answered(headers),
+    valid = len(load) == 3 and None not in load
+    return AnswerHeaders(
+        request=read_request_id(headers),
         stamped=_STAMP in values,
         not_run=_NOT_RUN in values or status == 421,
         faulty=values.get(_FAULTY, b"").decode("latin-1"),
-        running=load[0] if known else None,
-        waiting=load[1] or 0 if known else 0,
-        slots=load[2] or 0 if known else 0,
+        running=load[0] if valid else None,
+        waiting=load[1] or 0 if valid else 0,
+        slots=load[2] or 0 if valid else 0,
     )
 
 
@@ -161,21 +165,21 @@
     *,
     target: ListedTarget,
     account: str,
-    patience: float,
+    timeout: float,
     priority: int,
     last_event: str = "",
     path: Path | None = None,
     body_length: int = 0,
 ) -> list[tuple[bytes, bytes]]:
-    """Return the headers for a target.
+    """Return the headers of a request to a target.
 
-    :param headers: the caller's.
-    :param patience: seconds that are left.
+    :param headers: the caller's headers.
+    :param timeout: seconds that remain for the request.
     """
-    dropped = _HOP_BY_HOP | _OURS | _list_named(headers)
+    dropped = _HOP_BY_HOP | _SET_BY_GATEWAY | _list_named(headers)
     kept = [(n, v) for n, v in headers if n not in dropped]
     kept += [
-        (_DEADLINE, b"%d" % max(1, int(patience * 1000))),
+        (_DEADLINE, b"%d" % max(1, int(timeout * 1000))),
         (_INSTANCE, target.entry.encode()),
         (_PRIORITY, b"%d" % min(max(0, priority), _LOWEST_PRIORITY)),
     ]
@@ -191,7 +195,7 @@
 
 
 def copy_answer(headers: Headers) -> list[tuple[bytes, bytes]]:
-    """Return a target's headers without those of its connection."""
+    """Return a target's headers without the hop-by-hop ones."""
     dropped = _HOP_BY_HOP | _list_named(headers)
     return [(n, v) for n, v in headers if n not in dropped]
 
@@ -199,7 +203,7 @@
 def write_refusal(
     request: str, retry_after: float | None
 ) -> list[tuple[bytes, bytes]]:
-    """Return the headers of an answer of our own."""
+    """Return the headers of an answer that the gateway itself gives."""
     headers = [(b"content-type", b"application/json")]
     if request:
         headers.append((_REQUEST_ID, request.encode("latin-1")))
@@ -214,7 +218,7 @@
 
 
 def _list_named(headers: Headers) -> set[bytes]:
-    """Return the headers that ``Connection`` names as its own."""
+    """Return the hop-by-hop headers that ``Connection`` lists."""
     named: set[bytes] = set()
     for name, value in headers:
         if name == b"connection":
--- a/magnoliacove/routing/candidates.py
+++ b/magnoliacove/routing/candidates.py
@@ -137,7 +137,7 @@
             if not permitted and not (beyond_limits and inner):
                 continue
             load = self._loads.read(target.name)
-            capacity = shape.count_room(
+            capacity = shape.compute_capacity(
                 target.accelerator, status.layers.count
             )
             if self._paused.get(target.name, _NEVER_PAUSED)[1] > now:
--- a/tests/placement/test_plan.py
+++ b/tests/placement/test_plan.py
@@ -100,7 +100,7 @@
         layers = engine.layers
         if engine.data_centre != place or layers is None:
             continue
-        tokens = shape.count_room(engine.accelerator, layers.count)
+        tokens = shape.compute_capacity(engine.accelerator, layers.count)
         for n in range(layers.first, layers.end):
             streams[n] += tokens / layers.count / shape.usual_tokens
     return min(streams)
