--- a/magnoliacove/agent/neighbours.py
+++ b/magnoliacove/agent/neighbours.py
@@ -66,7 +66,7 @@
             peer = self._start_peer(name, address)
         elif verify and peer.connection is not None:
             connection = peer.connection
-            if not await connection.check(_VERIFY_TIMEOUT):
+            if not await connection.probe(_VERIFY_TIMEOUT):
                 connection.close()
                 await trio.lowlevel.checkpoint()
         # A neighbour that could not be reached a moment ago is being
@@ -123,7 +123,7 @@
             self._hello,
             _ignore,
             went_down=self._note_down,
-            read_pace=self._read_pace,
+            get_heartbeat_interval=self._read_pace,
         )
         self._peers[address] = peer
         self._nursery.start_soon(peer.run)
--- a/magnoliacove/entry/__init__.py
+++ b/magnoliacove/entry/__init__.py
@@ -1,4 +1,4 @@
-"""The entry: the callers' side of the system."""
+"""The entry: the process that serves callers."""
 
 from magnoliacove.entry.process import Entry
 from magnoliacove.entry.process import EntryParts
--- a/magnoliacove/entry/callers.py
+++ b/magnoliacove/entry/callers.py
@@ -1,4 +1,4 @@
-"""The callers' side of an entry: an ASGI application."""
+"""The ASGI application of an entry that serves callers."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -23,35 +23,38 @@
 from magnoliacove.entry.exchange import run_while_connected
 from magnoliacove.entry.pipelines import Pipelines
 from magnoliacove.entry.pool import TargetPool
-from magnoliacove.entry.runs import ServiceRuns
+from magnoliacove.entry.service_runner import ServiceRunner
 from magnoliacove.metrics import Meters
 from magnoliacove.timeline import Recorder
 from magnoliacove.wire import messages
 
-__all__ = ["CallersApp", "make_request_name"]
+__all__ = ["CallersApp", "make_request_id"]
 
 _EVENT_STREAM = (b"content-type", b"text/event-stream; charset=utf-8")
 _SERVICES = "/services/"
 _PIPELINES = "/pipelines/"
 
 
-def make_request_name() -> bytes:
-    """Return a new, time-ordered name of 16 bytes.
+def make_request_id() -> bytes:
+    """Return a new, time-ordered request ID of 16 bytes.
 
-    The last byte is left 0, for the number of a try.
+    The last byte is 0; it is reserved for the number of an attempt.
     """
     milliseconds = time.time_ns() // 1_000_000
     return milliseconds.to_bytes(6, "big") + os.urandom(9) + b"\0"
 
 
 class CallersApp:
-    """Answers callers: models, plain services and pipelines."""
+    """Serves requests to models, plain services and pipelines.
+
+    :param is_leaving: returns whether the entry is draining.
+    """
 
     def __init__(
         self,
         view: View,
         pool: TargetPool,
-        runs: ServiceRuns,
+        runner: ServiceRunner,
         recorder: Recorder,
         meters: Meters,
         is_leaving: Callable[[], bool],
@@ -64,8 +67,8 @@
         self._pool = pool
         self._recorder = recorder
         self._meters = meters
-        self._runs = runs
-        self._pipelines = Pipelines(view, runs, self._find_service)
+        self._runner = runner
+        self._pipelines = Pipelines(view, runner, self._find_service)
         self._is_leaving = is_leaving
         self._keys: dict[str, configuration.ClientAccount] = {}
         self._keys_version = -1
@@ -77,15 +80,15 @@
             return
         if scope["type"] != "http":
             return
-        exchange = Exchange(scope, receive, send, make_request_name())
+        exchange = Exchange(scope, receive, send, make_request_id())
         self.in_progress += 1
         began = trio.current_time()
         try:
             await self._serve(exchange)
             result = "ok"
-        except errors.RequestError as why:
-            result = why.code
-            await self._answer_error(exchange, why)
+        except errors.RequestError as exc:
+            result = exc.code
+            await self._answer_error(exchange, exc)
         finally:
             self.in_progress -= 1
         self._meters.count("requests_total", result=result)
@@ -126,27 +129,27 @@
         await exchange.answer(200 if ready else 503, body)
 
     async def _answer_error(
-        self, exchange: Exchange, why: errors.RequestError
+        self, exchange: Exchange, exc: errors.RequestError
     ) -> None:
         self._recorder.record(
             "request-failed",
-            request=exchange.name,
-            why=f"{why.code}: {why}",
-            outcome=why.outcome,
-            status=why.status,
+            request=exchange.request_id,
+            why=f"{exc.code}: {exc}",
+            outcome=exc.outcome,
+            status=exc.status,
         )
-        if why.code == "gone":
+        if exc.code == "gone":
             return
         if exchange.started:
-            # The status is out already; leaving the body unfinished is
-            # what tells the caller that the answer is not whole.
-            raise ConnectionAbortedError(str(why))
-        headers = [(b"x-outcome", why.outcome.value.encode())]
-        if why.retry_after is not None:
-            seconds = str(math.ceil(why.retry_after)).encode()
+            # The status has already been sent; an unfinished body shows
+            # the caller that the response is incomplete.
+            raise ConnectionAbortedError(str(exc))
+        headers = [(b"x-outcome", exc.outcome.value.encode())]
+        if exc.retry_after is not None:
+            seconds = str(math.ceil(exc.retry_after)).encode()
             headers.append((b"retry-after", seconds))
-        body = json.dumps(openai.write_error(why)).encode()
-        await exchange.answer(why.status, body, tuple(headers))
+        body = json.dumps(openai.write_error(exc)).encode()
+        await exchange.answer(exc.status, body, tuple(headers))
 
     # Accounts.
 
@@ -157,8 +160,8 @@
             )
             self._keys = {h: a for a in accounts for h in a.key_hashes}
             self._keys_version = self._view.version
-        given = exchange.headers.get(b"authorization", b"")
-        scheme, _, key = given.partition(b" ")
+        authorization = exchange.headers.get(b"authorization", b"")
+        scheme, _, key = authorization.partition(b" ")
         hashed = hashlib.sha256(key.strip()).hexdigest()
         account = self._keys.get(hashed)
         if scheme.lower() != b"bearer" or account is None:
@@ -207,7 +210,7 @@
         body = await exchange.read_body()
         request = openai.read_request(body, chat=chat)
         service = self._find_service(account, request.model, "model")
-        writer = openai.AnswerWriter(request, exchange.name.hex())
+        writer = openai.AnswerWriter(request, exchange.request_id.hex())
         texts: list[bytes] = []
         ended = False
 
@@ -224,16 +227,16 @@
             await exchange.write(part, more=True)
 
         async def run() -> None:
-            await self._run_keyed(
+            await self._run_with_key(
                 exchange, account, service, request, body, emit
             )
 
         try:
             await run_while_connected(exchange, run)
-        except errors.RequestError as why:
-            if not exchange.started or why.code == "gone":
+        except errors.RequestError as exc:
+            if not exchange.started or exc.code == "gone":
                 raise
-            await self._end_stream(exchange, why)
+            await self._end_stream(exchange, exc)
             return
         reason = "stop" if ended else "length"
         if request.stream:
@@ -243,19 +246,19 @@
             await exchange.answer(200, writer.write_whole(texts, reason))
 
     async def _end_stream(
-        self, exchange: Exchange, why: errors.RequestError
+        self, exchange: Exchange, exc: errors.RequestError
     ) -> None:
-        """End a stream with an error that stock clients raise."""
+        """End a stream with an error event that standard clients raise."""
         self._recorder.record(
             "request-failed",
-            request=exchange.name,
-            why=f"{why.code}: {why}",
-            outcome=why.outcome,
+            request=exchange.request_id,
+            why=f"{exc.code}: {exc}",
+            outcome=exc.outcome,
         )
-        data = json.dumps(openai.write_error(why)).encode()
+        data = json.dumps(openai.write_error(exc)).encode()
         await exchange.write(b"data: " + data + b"\n\n", more=False)
 
-    async def _run_keyed(
+    async def _run_with_key(
         self,
         exchange: Exchange,
         account: configuration.ClientAccount,
@@ -264,21 +267,22 @@
         body: bytes,
         emit: Callable[[bytes, bool], Awaitable[None]],
     ) -> None:
-        """Run a model's request, once for its idempotency key.
+        """Run a request to a model, at most once for its idempotency key.
 
-        Only a service that says so takes part: most requests to models
-        may run again, and a claim costs a message to the key's owner.
+        This applies only to services that are configured as not idempotent
+        for the path: most requests to models may run again, and a claim
+        costs a message to the key's owner.
         """
         key = read_key(exchange)
         path = exchange.scope["path"]
         if not key or service.is_idempotent("POST", path):
-            await self._runs.run_model(
-                exchange.name, account, service, request, emit
+            await self._runner.run_model(
+                exchange.request_id, account, service, request, emit
             )
             return
         claim = KeyClaim(
             messages.Claim(
-                exchange.name,
+                exchange.request_id,
                 service.name,
                 account.name,
                 key,
@@ -303,25 +307,25 @@
         await self._run_detached(run)
 
     async def _run_detached(self, run: Callable[[], Awaitable[None]]) -> None:
-        """Run to the end even when the caller hangs up.
+        """Run to completion even if the caller disconnects.
 
-        The caller's next try with the same key must find the answer: the
-        request may not run again.
+        The caller's next attempt with the same key must find the answer,
+        because the request must not run again.
         """
         done = trio.Event()
         failures: list[errors.RequestError] = []
 
-        async def run_and_tell() -> None:
+        async def run_and_signal() -> None:
             self.in_progress += 1
             try:
                 await run()
-            except errors.RequestError as why:
-                failures.append(why)
+            except errors.RequestError as exc:
+                failures.append(exc)
             finally:
                 self.in_progress -= 1
                 done.set()
 
-        self.start_soon(run_and_tell)
+        self.start_soon(run_and_signal)
         await done.wait()
         if failures:
             raise failures[0]
@@ -338,19 +342,19 @@
         texts: list[tuple[str, bool]] = []
         outcome = errors.Outcome.MAY_HAVE_RUN
 
-        async def note(text: bytes, end: bool) -> None:
+        async def record_token(text: bytes, end: bool) -> None:
             texts.append((text.decode("utf-8", "replace"), end))
             await emit(text, end)
 
         record = b""
         try:
-            await self._runs.run_model(
-                exchange.name, account, service, request, note
+            await self._runner.run_model(
+                exchange.request_id, account, service, request, record_token
             )
             record = json.dumps(texts).encode()
             outcome = errors.Outcome.RAN
-        except errors.RequestError as why:
-            outcome = why.outcome
+        except errors.RequestError as exc:
+            outcome = exc.outcome
             raise
         finally:
             claim.finish(outcome, record)
@@ -360,8 +364,8 @@
     async def _serve_plain(
         self, exchange: Exchange, account: configuration.ClientAccount
     ) -> None:
-        rest = exchange.scope["path"].removeprefix(_SERVICES)
-        name, _, path = rest.partition("/")
+        suffix = exchange.scope["path"].removeprefix(_SERVICES)
+        name, _, path = suffix.partition("/")
         service = self._find_service(account, name, "plain")
         query = exchange.scope["query_string"].decode("latin-1")
         full_path = quote("/" + path) + (f"?{query}" if query else "")
@@ -376,7 +380,7 @@
             await exchange.write(part.body, more=part.more)
 
         async def run() -> None:
-            await self._runs.run_plain(
+            await self._runner.run_plain(
                 exchange, account, service, full_path, body, send
             )
 
--- a/magnoliacove/entry/calls.py
+++ b/magnoliacove/entry/calls.py
@@ -1,4 +1,4 @@
-"""One request to a plain service, from an entry to a target and back."""
+"""One request of an entry to a plain service."""
 
 from collections import deque
 from collections.abc import Awaitable
@@ -25,9 +25,9 @@
 
 
 class PlainCall:
-    """Runs one call, elsewhere again only where that is right.
+    """Runs one call, and retries it on another target if that is safe.
 
-    :param deadline: by trio's clock.
+    :param deadline: in seconds of trio's clock.
     """
 
     def __init__(
@@ -48,83 +48,84 @@
         self._inbox: deque[tuple[str, object]] = deque()
         self._arrived = trio.Event()
         self._target = ""
-        self._name = b""
-        self._began = False
-        self._tried: set[str] = set()
+        self._request_id = b""
+        self._answer_started = False
+        self._tried_targets: set[str] = set()
 
-    # What the pool calls.
+    # Called by the pool.
 
     def receive(self, source: str, message: object) -> None:
-        """Take a message without waiting."""
+        """Queue a message without waiting."""
         self._inbox.append((source, message))
         self._arrived.set()
 
-    def uses(self, name: str) -> bool:
+    def depends_on(self, name: str) -> bool:
         """Return whether the call depends on an agent."""
         return name == self._target
 
-    def check(self, now: float) -> None:
-        """Do nothing: the call's deadline ends it."""
+    def check_timeout(self, now: float) -> None:
+        """Do nothing; the call ends at its deadline."""
 
     # Running.
 
     async def run(self, send: Send) -> None:
-        """Run the call to its end.
+        """Run the call to completion.
 
-        :param send: takes the parts of the answer in order.
-        :raises magnoliacove.errors.RequestError: when no answer comes.
+        :param send: called with the parts of the answer in order.
+        :raises magnoliacove.errors.RequestError: when the call fails.
         """
         backoff = Backoff(0.02, 0.5)
         attempt = 0
         while True:
             attempt += 1
             try:
-                await self._try_once(attempt, send)
+                await self._attempt_once(attempt, send)
                 return
-            except errors.RequestError as why:
-                self._require_repeatable(why, attempt)
+            except errors.RequestError as exc:
+                self._require_repeatable(exc, attempt)
             await backoff.pause()
 
     def _require_repeatable(
-        self, why: errors.RequestError, attempt: int
+        self, exc: errors.RequestError, attempt: int
     ) -> None:
-        """Raise the error unless another try is right."""
-        # Part of an answer that was sent on cannot be taken back, and a
-        # request that may have run may only run again if it is idempotent.
-        may_repeat = why.outcome is errors.Outcome.NOT_RUN or (
-            self._call.idempotent and why.code != "deadline"
+        """Raise the error unless the call may be retried."""
+        # A part of an answer that was already forwarded cannot be taken
+        # back, and a request that may have run may only run again if it is
+        # idempotent.
+        may_repeat = exc.outcome is errors.Outcome.NOT_RUN or (
+            self._call.idempotent and exc.code != "deadline"
         )
-        hopeless = why.status in (400, 409, 422) and why.code != "not_owner"
-        late = trio.current_time() >= self._deadline
+        permanent = exc.status in (400, 409, 422) and exc.code != "not_owner"
+        expired = trio.current_time() >= self._deadline
         if (
-            self._began
+            self._answer_started
             or not may_repeat
-            or hopeless
-            or late
-            or why.code == "no_target"
+            or permanent
+            or expired
+            or exc.code == "no_target"
             or attempt >= defaults.MAX_ATTEMPTS
             or not self._budget.try_spend()
         ):
-            raise why
+            raise exc
         self._recorder.record(
             "call-retried",
             request=self._call.request,
             target=self._target,
-            why=f"{why.code}: {why}",
+            why=f"{exc.code}: {exc}",
         )
 
-    async def _try_once(self, attempt: int, send: Send) -> None:
+    async def _attempt_once(self, attempt: int, send: Send) -> None:
         call = self._call
-        # Each try has a name of its own, so a late answer to an earlier
-        # one is never taken for this one's.
-        name = self._name = call.request[:-1] + bytes([attempt])
+        # Each attempt has its own request ID, so that a late answer to an
+        # earlier attempt is never taken for the answer to this one.
+        request_id = self._request_id = call.request[:-1] + bytes([attempt])
         remaining = self._deadline - trio.current_time()
         self._inbox.clear()
         self._target = self._choose_target()
-        self._tried.add(self._target)
+        self._tried_targets.add(self._target)
         message = replace(
             call,
-            request=name,
+            request=request_id,
             deadline=max(1, int(remaining * 1000)),
             configuration_version=self._view.version,
         )
@@ -137,33 +138,35 @@
         )
         estimate = self._pool.estimates.target(self._target)
         estimate.own += 1
-        self._pool.receivers[name] = self
+        self._pool.receivers[request_id] = self
         try:
             self._post(message)
-            await self._take_answer(send)
+            await self._receive_answer(send)
         except trio.Cancelled:
-            # The caller hung up; the target need not go on for nobody.
+            # The caller disconnected, so the target can stop.
             self._cancel()
             raise
         finally:
             estimate.own -= 1
-            del self._pool.receivers[name]
+            del self._pool.receivers[request_id]
 
     def _post(self, message: messages.Call) -> None:
         try:
             self._pool.post(self._target, message)
-        except errors.PeerError as why:
+        except errors.PeerError as exc:
             raise errors.RequestError(
-                "target_unreachable", str(why), retry_after=1.0
-            ) from why
+                "target_unreachable", str(exc), retry_after=1.0
+            ) from exc
 
     def _choose_target(self) -> str:
         call = self._call
         if call.key and not call.idempotent:
             return find_owner(self._view, self._pool, call.service, call.key)
         names = self._pool.list_plain(call.service)
-        fresh = [name for name in names if name not in self._tried] or names
-        if not fresh:
+        candidates = [
+            name for name in names if name not in self._tried_targets
+        ] or names
+        if not candidates:
             raise errors.RequestError(
                 "no_target",
                 f"no usable target serves {call.service}; see "
@@ -177,9 +180,9 @@
             penalty = estimate.penalty(trio.current_time())
             return penalty, waiting * estimate.step_seconds()
 
-        return min(fresh, key=cost)
+        return min(candidates, key=cost)
 
-    async def _take_answer(self, send: Send) -> None:
+    async def _receive_answer(self, send: Send) -> None:
         with trio.move_on_at(self._deadline) as scope:
             while True:
                 source, message = await self._next()
@@ -192,7 +195,7 @@
                 if isinstance(message, messages.Refused):
                     raise read_refusal(message)
                 if isinstance(message, messages.Answer):
-                    self._began = True
+                    self._answer_started = True
                     await send(message)
                     if not message.more:
                         return
@@ -217,7 +220,9 @@
 
     def _cancel(self) -> None:
         try:
-            self._pool.post(self._target, messages.CancelCall(self._name))
+            self._pool.post(
+                self._target, messages.CancelCall(self._request_id)
+            )
         except errors.PeerError:
             return
 
--- a/magnoliacove/entry/claims.py
+++ b/magnoliacove/entry/claims.py
@@ -1,4 +1,4 @@
-"""Taking an idempotency key for a model's request, at the key's owner."""
+"""Claims of idempotency keys for requests to models."""
 
 import trio
 
@@ -12,9 +12,12 @@
 
 __all__ = ["KeyClaim", "find_owner"]
 
-_TIMEOUT = 5.0
-_TRIES = 4
-_PAUSE = 0.3
+# Seconds, beyond the request's deadline, to wait for the owner's answer.
+_OWNER_TIMEOUT = 5.0
+# Attempts to find the owner while configurations differ, and the seconds
+# between two of them.
+_MAX_ATTEMPTS = 4
+_RETRY_PAUSE = 0.3
 
 
 def find_owner(view: View, pool: TargetPool, service: str, key: str) -> str:
@@ -29,8 +32,8 @@
     ]
     owner = choose_owner(key, owners)
     if pool.find(owner) is None:
-        # Another target could not know whether the key ran at its owner,
-        # so nobody else may run it.
+        # Another target has no record of whether the key ran at its
+        # owner, so no other target may run it.
         raise errors.RequestError(
             "owner_unreachable",
             "the target that owns this idempotency key cannot be reached; "
@@ -41,7 +44,7 @@
 
 
 class KeyClaim:
-    """One request's claim on its key."""
+    """Claims an idempotency key at its owner for one request."""
 
     def __init__(
         self, claim: messages.Claim, view: View, pool: TargetPool
@@ -53,53 +56,53 @@
         self._answer: object = None
         self._arrived = trio.Event()
 
-    # What the pool calls.
+    # Called by the pool.
 
     def receive(self, source: str, message: object) -> None:
-        """Take a message without waiting."""
+        """Accept a message without waiting."""
         if isinstance(message, PeerChanged) and not message.lost:
             return
         self._answer = message
         self._arrived.set()
 
-    def uses(self, name: str) -> bool:
+    def depends_on(self, name: str) -> bool:
         """Return whether the claim depends on an agent."""
         return name == self._owner
 
-    def check(self, now: float) -> None:
-        """Do nothing: the claim's time ends it."""
+    def check_timeout(self, now: float) -> None:
+        """Do nothing; :meth:`take` has its own timeout."""
 
     # Claiming.
 
     async def take(self) -> bytes | None:
-        """Take the key; return the record of an earlier try, if any.
+        """Claim the key; return the answer of an earlier attempt, if any.
 
-        :raises magnoliacove.errors.RequestError: when the request may not
+        :raises magnoliacove.errors.RequestError: when the request must not
             run.
         """
-        for attempt in range(_TRIES):
+        for attempt in range(_MAX_ATTEMPTS):
             try:
-                return await self._take_once()
-            except errors.RequestError as why:
-                # The entry and the owner differ in their configuration
-                # for a moment after a change.
-                if why.code != "not_owner" or attempt == _TRIES - 1:
+                return await self._try_take()
+            except errors.RequestError as exc:
+                # Just after a change, the entry and the owner may have
+                # different configuration versions.
+                if exc.code != "not_owner" or attempt == _MAX_ATTEMPTS - 1:
                     raise
-                await trio.sleep(_PAUSE)
+                await trio.sleep(_RETRY_PAUSE)
         return None
 
     def finish(self, outcome: errors.Outcome, record: bytes) -> None:
-        """Tell the owner what became of the request."""
+        """Report the outcome of the request to the owner."""
         ran = outcome is not errors.Outcome.NOT_RUN
         done = messages.ClaimDone(self._claim.request, ran, record)
         try:
             self._pool.post(self._owner, done)
         except errors.PeerError:
-            # The owner takes a lost entry's request as one that may have
-            # run, which is never wrong.
+            # When the owner loses the connection to an entry, it assumes
+            # that the entry's request may have run, which is always safe.
             return
 
-    async def _take_once(self) -> bytes | None:
+    async def _try_take(self) -> bytes | None:
         claim = self._claim
         service, key = claim.service, claim.key
         self._owner = find_owner(self._view, self._pool, service, key)
@@ -107,29 +110,29 @@
         self._pool.receivers[claim.request] = self
         try:
             self._pool.post(self._owner, claim)
-            with trio.move_on_after(_TIMEOUT + claim.deadline / 1000):
+            with trio.move_on_after(_OWNER_TIMEOUT + claim.deadline / 1000):
                 await self._arrived.wait()
-        except errors.PeerError as why:
-            raise self._fail("cannot be reached") from why
+        except errors.PeerError as exc:
+            raise self._make_error("cannot be reached") from exc
         finally:
             del self._pool.receivers[claim.request]
         if isinstance(self._answer, messages.Refused):
             raise read_refusal(self._answer)
         if not isinstance(self._answer, messages.Claimed):
-            raise self._fail("gave no answer")
+            raise self._make_error("gave no answer")
         return self._answer.record if self._answer.replayed else None
 
-    def _fail(self, why: str) -> errors.RequestError:
+    def _make_error(self, problem: str) -> errors.RequestError:
         return errors.RequestError(
             "owner_unreachable",
-            f"the target that owns this idempotency key {why}; this try "
+            f"the target that owns this idempotency key {problem}; this try "
             "did not run. Repeat it with the same key",
             retry_after=2.0,
         )
 
 
 def read_refusal(message: messages.Refused) -> errors.RequestError:
-    """Return the error that an agent's refusal carries."""
+    """Convert an agent's refusal to an error."""
     return errors.RequestError(
         message.code,
         message.reason,
--- a/magnoliacove/entry/distribution.py
+++ b/magnoliacove/entry/distribution.py
@@ -1,10 +1,11 @@
-"""How an entry stays up to date, and how a data centre gets its news.
+"""Distribution of configuration and directory updates in a data centre.
 
 One entry of each data centre holds the lease ``distributor-<data centre>``
 and watches the platform's store; the other entries subscribe to it, and
-agents subscribe to any entry.  So the platform sees a few watches however
-many instances there are.  When nobody holds the lease, or the store is
-down, entries go on with what they know and with what any peer knows.
+agents subscribe to any entry.  The number of watches on the platform is
+therefore small and does not grow with the number of instances.  When no
+entry holds the lease, or the store is down, entries continue with their
+current view and with the updates of any peer that they can reach.
 """
 
 from collections.abc import Iterable
@@ -42,31 +43,31 @@
         )
 
     async def run(self) -> None:
-        """Hold or follow the role until cancelled."""
+        """Distribute updates or follow the distributor until cancelled."""
         while True:
             if await self._try_take():
                 await self._distribute()
                 continue
             if not await self._follow_holder():
-                await self._follow_anybody()
+                await self._follow_any_peer()
             await trio.sleep(random.uniform(0.1, 0.5))
 
     async def release(self) -> None:
-        """Give the role up before a planned stop."""
+        """Release the lease before a planned stop."""
         await self.lease.release()
 
     async def _try_take(self) -> bool:
         store = self._process.store
         try:
             taken = await self.lease.try_take()
-        except errors.PlatformError as why:
-            store.note_reachable(False, str(why))
+        except errors.PlatformError as exc:
+            store.note_reachable(False, str(exc))
             return False
         store.note_reachable(True)
         return taken
 
     async def _distribute(self) -> None:
-        """Watch the store while the lease is held."""
+        """Watch the store while this entry holds the lease."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._process.store.follow)
             while await self._renew():
@@ -77,12 +78,15 @@
         try:
             return await self.lease.try_take()
         except errors.PlatformError:
-            # Renewing may work again before the lease lapses.  After that
-            # this entry is one among others; what it knows stays in force.
+            # Renewal may succeed again before the lease expires.  After
+            # that this entry is a follower; its view remains in force.
             return self.lease.held
 
     async def _follow_holder(self) -> bool:
-        """Subscribe to the holder; return whether that worked for a time."""
+        """Subscribe to the lease holder.
+
+        Return after the subscription ends, with whether it was established.
+        """
         name = self.lease.holder.partition("/")[0]
         if not name or name == self._process.identity.name:
             return False
@@ -94,8 +98,8 @@
             return False
         return await self._subscribe(instance.parsed_address)
 
-    async def _follow_anybody(self) -> None:
-        """Read the store once, else subscribe to whoever can be reached."""
+    async def _follow_any_peer(self) -> None:
+        """Read the store once, or subscribe to any reachable peer."""
         if await self._refresh():
             return
         own = self._process.identity.name
@@ -115,8 +119,8 @@
         store = self._process.store
         try:
             await store.refresh()
-        except errors.PlatformError as why:
-            store.note_reachable(False, str(why))
+        except errors.PlatformError as exc:
+            store.note_reachable(False, str(exc))
             return False
         store.note_reachable(True)
         return True
@@ -127,11 +131,12 @@
         )
 
     async def _check_holder(self, connection: wire.Connection) -> None:
-        """Leave a peer that does not hold the role any longer.
+        """Unsubscribe from a peer that no longer holds the lease.
 
-        A former holder that still answers would hand on old news for
-        ever.  One read in every few seconds notices it; within that time
-        the present holder's news is missed at most once.
+        A former holder that still answers would distribute stale updates
+        indefinitely.  One read of the lease every few seconds detects this;
+        within that time an update of the current holder is missed at most
+        once.
         """
         while True:
             await trio.sleep(
--- a/magnoliacove/entry/exchange.py
+++ b/magnoliacove/entry/exchange.py
@@ -1,4 +1,4 @@
-"""One request of a caller over ASGI, and what was answered so far."""
+"""One request of a caller over ASGI, and the state of its response."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -14,28 +14,29 @@
 __all__ = ["Exchange", "read_key", "run_while_connected"]
 
 _JSON = (b"content-type", b"application/json")
-_MAX_KEY = 255
+_MAX_KEY_LENGTH = 255
 
 
 @dataclass
 class Exchange:
-    """One request of a caller, and what was answered so far.
+    """One request of a caller, and the state of its response.
 
-    :param name: the request's name, 16 bytes.
-    :param started: whether the status is out.
-    :param gone: whether the caller has hung up; nothing is sent then.
+    :param request_id: 16 bytes.
+    :param started: whether the status has been sent.
+    :param disconnected: whether the caller has disconnected; nothing more
+        is sent then.
     """
 
     scope: Mapping[str, Any]
     receive: Callable[[], Awaitable[Mapping[str, Any]]]
     send: Callable[[Mapping[str, Any]], Awaitable[None]]
-    name: bytes
+    request_id: bytes
     started: bool = False
-    gone: bool = False
+    disconnected: bool = False
 
     @property
     def headers(self) -> dict[bytes, bytes]:
-        """The request's headers, names in lower case."""
+        """The request's headers, with lower-case names."""
         return dict(self.scope["headers"])
 
     async def start(
@@ -43,7 +44,7 @@
     ) -> None:
         """Send the status and the headers."""
         self.started = True
-        if self.gone:
+        if self.disconnected:
             return
         await self.send(
             {
@@ -51,14 +52,14 @@
                 "status": status,
                 "headers": [
                     *headers,
-                    (b"x-request-id", self.name.hex().encode()),
+                    (b"x-request-id", self.request_id.hex().encode()),
                 ],
             }
         )
 
     async def write(self, body: bytes, *, more: bool) -> None:
         """Send a part of the body."""
-        if self.gone:
+        if self.disconnected:
             return
         await self.send(
             {"type": "http.response.body", "body": body, "more_body": more}
@@ -70,7 +71,7 @@
         body: bytes,
         headers: tuple[tuple[bytes, bytes], ...] = (),
     ) -> None:
-        """Send a whole JSON answer."""
+        """Send a complete JSON response."""
         length = (b"content-length", str(len(body)).encode())
         await self.start(status, [_JSON, length, *headers])
         await self.write(body, more=False)
@@ -78,8 +79,8 @@
     async def read_body(self) -> bytes:
         """Return the request's body.
 
-        :raises magnoliacove.errors.RequestError: when it is too large or
-            the caller hangs up.
+        :raises magnoliacove.errors.RequestError: when the body is too
+            large or the caller disconnects.
         """
         body = bytearray()
         while True:
@@ -98,15 +99,15 @@
 
 
 def read_key(exchange: Exchange) -> str:
-    """Return the request's idempotency key, or "".
+    """Return the request's idempotency key, or "" if it has none.
 
-    :raises magnoliacove.errors.RequestError: when it is no proper key.
+    :raises magnoliacove.errors.RequestError: when the key is invalid.
     """
     key = exchange.headers.get(b"idempotency-key", b"")
-    if len(key) > _MAX_KEY or not key.isascii():
+    if len(key) > _MAX_KEY_LENGTH or not key.isascii():
         raise errors.RequestError(
             "invalid_request",
-            f"an idempotency key has at most {_MAX_KEY} ASCII letters",
+            f"an idempotency key has at most {_MAX_KEY_LENGTH} ASCII letters",
             status=400,
         )
     return key.decode()
@@ -115,23 +116,23 @@
 async def run_while_connected(
     exchange: Exchange, run: Callable[[], Awaitable[None]]
 ) -> None:
-    """Run until done, or until the caller hangs up."""
+    """Run to completion, or until the caller disconnects."""
     failure: errors.RequestError | None = None
 
     async def watch(scope: trio.CancelScope) -> None:
         while (await exchange.receive())["type"] != "http.disconnect":
             continue
-        exchange.gone = True
+        exchange.disconnected = True
         scope.cancel()
 
     async with trio.open_nursery() as nursery:
         nursery.start_soon(watch, nursery.cancel_scope)
         try:
             await run()
-        except errors.RequestError as why:
-            failure = why
+        except errors.RequestError as exc:
+            failure = exc
         nursery.cancel_scope.cancel()
     if failure is not None:
         raise failure
-    if exchange.gone:
+    if exchange.disconnected:
         raise errors.RequestError("gone", "the caller hung up")
--- a/magnoliacove/entry/openai.py
+++ b/magnoliacove/entry/openai.py
@@ -1,4 +1,4 @@
-"""The usual completions and chat API: reading requests, writing answers."""
+"""The OpenAI-style completions and chat API."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -14,10 +14,10 @@
 
 @dataclass(frozen=True)
 class ModelRequest:
-    """A checked request to a model.
+    """A validated request to a model.
 
-    :param chat: whether the chat form is spoken.
-    :param usage: whether a stream ends with the numbers of tokens.
+    :param chat: whether it uses the chat API.
+    :param usage: whether a stream ends with the token counts.
     """
 
     model: str
@@ -29,74 +29,74 @@
 
 
 def read_request(body: bytes, *, chat: bool) -> ModelRequest:
-    """Return the request that a JSON body describes.
+    """Parse and validate a JSON body.
 
-    :raises magnoliacove.errors.RequestError: naming what is wrong.
+    :raises magnoliacove.errors.RequestError: naming the invalid part.
     """
     try:
         data = json.loads(body)
-    except (ValueError, RecursionError) as why:
-        raise _bad(f"the body is no JSON: {why}") from why
+    except (ValueError, RecursionError) as exc:
+        raise _make_invalid(f"the body is no JSON: {exc}") from exc
     if not isinstance(data, dict):
-        raise _bad("the body must be a JSON object")
+        raise _make_invalid("the body must be a JSON object")
     model = data.get("model")
     if not isinstance(model, str) or not model:
-        raise _bad("name the service in 'model'")
+        raise _make_invalid("name the service in 'model'")
     options = data.get("stream_options") or {}
-    most = data.get("max_completion_tokens") or data.get("max_tokens")
+    limit = data.get("max_completion_tokens") or data.get("max_tokens")
     return ModelRequest(
         model,
         _read_messages(data) if chat else _read_prompt(data),
-        _read_max_tokens(most),
+        _read_max_tokens(limit),
         data.get("stream") is True,
         chat,
         isinstance(options, dict) and options.get("include_usage") is True,
     )
 
 
-def _bad(message: str) -> errors.RequestError:
+def _make_invalid(message: str) -> errors.RequestError:
     return errors.RequestError("invalid_request", message, status=400)
 
 
 def _read_max_tokens(value: Any) -> int:
     if value is None:
         return defaults.MAX_TOKENS
-    most = defaults.MAX_TOKENS_LIMIT
+    limit = defaults.MAX_TOKENS_LIMIT
     if isinstance(value, bool) or not isinstance(value, int):
-        raise _bad("'max_tokens' must be a whole number")
-    if not 0 < value <= most:
-        raise _bad(f"'max_tokens' must lie between 1 and {most}")
+        raise _make_invalid("'max_tokens' must be a whole number")
+    if not 0 < value <= limit:
+        raise _make_invalid(f"'max_tokens' must lie between 1 and {limit}")
     return value
 
 
 def _read_prompt(data: Mapping[str, Any]) -> bytes:
     prompt = data.get("prompt")
     if not isinstance(prompt, str) or not prompt:
-        raise _bad("'prompt' must be a text that is not empty")
+        raise _make_invalid("'prompt' must be a text that is not empty")
     return prompt.encode()
 
 
 def _read_messages(data: Mapping[str, Any]) -> bytes:
     entries = data.get("messages")
     if not isinstance(entries, list) or not entries:
-        raise _bad("'messages' must be a list that is not empty")
+        raise _make_invalid("'messages' must be a list that is not empty")
     return "\n".join(_read_message(entry) for entry in entries).encode()
 
 
 def _read_message(entry: Any) -> str:
     if not isinstance(entry, dict) or not isinstance(entry.get("role"), str):
-        raise _bad("each message needs a 'role' and a 'content'")
+        raise _make_invalid("each message needs a 'role' and a 'content'")
     content = entry.get("content")
     if isinstance(content, list):
         parts = [p for p in content if isinstance(p, dict)]
         content = "".join(str(p.get("text", "")) for p in parts)
     if not isinstance(content, str):
-        raise _bad("a message's 'content' must be a text")
+        raise _make_invalid("a message's 'content' must be a text")
     return f"{entry['role']}: {content}"
 
 
 class AnswerWriter:
-    """Writes the JSON of one answer, whole or in parts."""
+    """Writes the JSON of one response, whole or streamed."""
 
     def __init__(self, request: ModelRequest, name: str) -> None:
         self._request = request
@@ -110,7 +110,7 @@
             "created": self._created,
             "model": request.model,
         }
-        # Only the text differs from one part to the next.
+        # Only the text differs between parts, so the rest is encoded once.
         head = json.dumps(self._head)[:-1].encode()
         self._prefix = b"data: " + head + b', "choices": [{"index": 0, '
         if request.chat:
@@ -121,7 +121,7 @@
             self._suffix = b', "finish_reason": null}]}\n\n'
 
     def write_role(self) -> bytes:
-        """Return the first part of a chat stream."""
+        """Return the first event of a chat stream."""
         if not self._request.chat:
             return b""
         delta = {"role": "assistant", "content": ""}
@@ -130,12 +130,12 @@
         )
 
     def write_token(self, text: bytes) -> bytes:
-        """Return the part that carries a token."""
+        """Return the event that carries a token."""
         quoted = json.dumps(text.decode("utf-8", "replace")).encode()
         return self._prefix + quoted + self._suffix
 
     def write_end(self, reason: str, tokens: int) -> bytes:
-        """Return the last parts of a stream."""
+        """Return the final events of a stream."""
         choice: dict[str, Any] = {"index": 0, "finish_reason": reason}
         empty: dict[str, Any] = {"delta": {}}
         choice.update(empty if self._request.chat else {"text": ""})
@@ -145,7 +145,7 @@
         return end + b"data: [DONE]\n\n"
 
     def write_whole(self, texts: list[bytes], reason: str) -> bytes:
-        """Return an answer that is not streamed."""
+        """Return a response that is not streamed."""
         text = b"".join(texts).decode("utf-8", "replace")
         choice: dict[str, Any] = {"index": 0, "finish_reason": reason}
         if self._request.chat:
@@ -170,16 +170,16 @@
         return b"data: " + json.dumps(data).encode() + b"\n\n"
 
 
-def write_error(why: errors.RequestError) -> dict[str, Any]:
-    """Return an error in the API's form, with the outcome added."""
-    invalid = why.status in (400, 401, 404, 413, 422)
+def write_error(exc: errors.RequestError) -> dict[str, Any]:
+    """Return an error in the API's format, with the outcome added."""
+    invalid = exc.status in (400, 401, 404, 413, 422)
     return {
         "error": {
-            "message": str(why),
+            "message": str(exc),
             "type": "invalid_request_error" if invalid else "server_error",
             "param": None,
-            "code": why.code,
-            "outcome": why.outcome.value,
-            "retry_after": why.retry_after,
+            "code": exc.code,
+            "outcome": exc.outcome.value,
+            "retry_after": exc.retry_after,
         }
     }
--- a/magnoliacove/entry/pipelines.py
+++ b/magnoliacove/entry/pipelines.py
@@ -1,4 +1,4 @@
-"""Pipelines: services that run one after another on one request."""
+"""Pipelines: services that process one request in sequence."""
 
 from collections.abc import Callable
 
@@ -9,14 +9,14 @@
 from magnoliacove.entry import openai
 from magnoliacove.entry.exchange import Exchange
 from magnoliacove.entry.exchange import run_while_connected
-from magnoliacove.entry.runs import ServiceRuns
+from magnoliacove.entry.service_runner import ServiceRunner
 from magnoliacove.wire import messages
 
 __all__ = ["Pipelines"]
 
 
 class Pipelines:
-    """Answers requests to pipelines.
+    """Serves requests to pipelines.
 
     :param find_service: returns an account's service by name and form.
     """
@@ -24,13 +24,13 @@
     def __init__(
         self,
         view: View,
-        runs: ServiceRuns,
+        runner: ServiceRunner,
         find_service: Callable[
             [configuration.ClientAccount, str, str], configuration.Service
         ],
     ) -> None:
         self._view = view
-        self._runs = runs
+        self._runner = runner
         self._find_service = find_service
 
     async def serve(
@@ -39,7 +39,7 @@
         exchange: Exchange,
         account: configuration.ClientAccount,
     ) -> None:
-        """Run a pipeline's services in turn, each on the one's before.
+        """Run a pipeline's services in order, each on the previous output.
 
         :raises magnoliacove.errors.RequestError: when there is no such
             pipeline, or a step fails.
@@ -49,18 +49,18 @@
             raise errors.RequestError(
                 "not_found", f"there is no pipeline {name!r}", status=404
             )
-        # All are looked up before any runs: an account that may not use a
-        # later step must not have the earlier ones run for nothing.
+        # All services are looked up before any runs, so that no step runs
+        # in vain for an account that must not use a later one.
         services = [self._find_step(account, step) for step in pipeline.steps]
         value = await exchange.read_body()
 
         async def run() -> None:
             nonlocal value
             for index, service in enumerate(services):
-                # Each step is a request of its own on the time line.
-                part = exchange.name[:-2] + bytes([index + 1, 0])
+                # Each step has its own request ID in the event log.
+                step_id = exchange.request_id[:-2] + bytes([index + 1, 0])
                 value = await self._run_step(
-                    part, exchange, account, service, value
+                    step_id, exchange, account, service, value
                 )
 
         await run_while_connected(exchange, run)
@@ -75,7 +75,7 @@
 
     async def _run_step(
         self,
-        name: bytes,
+        request_id: bytes,
         exchange: Exchange,
         account: configuration.ClientAccount,
         service: configuration.Service,
@@ -90,7 +90,9 @@
             request = openai.ModelRequest(
                 service.name, value, defaults.MAX_TOKENS, False, False, False
             )
-            await self._runs.run_model(name, account, service, request, emit)
+            await self._runner.run_model(
+                request_id, account, service, request, emit
+            )
             return b"".join(parts)
 
         async def send(part: messages.Answer) -> None:
@@ -103,6 +105,8 @@
                 )
             parts.append(part.body)
 
-        inner = Exchange(exchange.scope, exchange.receive, exchange.send, name)
-        await self._runs.run_plain(inner, account, service, "/", value, send)
+        inner = Exchange(
+            exchange.scope, exchange.receive, exchange.send, request_id
+        )
+        await self._runner.run_plain(inner, account, service, "/", value, send)
         return b"".join(parts)
--- a/magnoliacove/entry/pool.py
+++ b/magnoliacove/entry/pool.py
@@ -1,4 +1,4 @@
-"""An entry's connections to agents, and what it knows of their targets."""
+"""An entry's connections to agents, and the state of their targets."""
 
 from dataclasses import dataclass
 import hashlib
@@ -16,16 +16,20 @@
 
 __all__ = ["PeerChanged", "Receiver", "TargetPool"]
 
-# An entry stays connected to so many agents of each range of layers.  Every
-# entry connected to every agent would be 280,000 connections at the size
-# planned for, whose heartbeats alone exceed the control budget.
-_PEERS_PER_RANGE = 12
-_CHECK_EVERY = 0.25
+# Agents that an entry connects to for each range of layers.  Connecting
+# every entry to every agent would take 280,000 connections at the planned
+# size; their heartbeats alone would exceed the control budget.
+_MAX_PEERS_PER_RANGE = 12
+# Seconds between two checks of the receivers for overdue messages.
+_CHECK_INTERVAL = 0.25
 
 
 @dataclass(frozen=True)
 class PeerChanged:
-    """Tells a request that an agent it uses was lost or begins to leave."""
+    """Notifies a request that one of its agents was lost or drains.
+
+    :param lost: whether the connection was lost; the agent drains if not.
+    """
 
     name: str
     lost: bool
@@ -33,29 +37,29 @@
 
 
 class Receiver(Protocol):
-    """A request that messages of agents belong to."""
+    """A request in progress that receives messages from agents."""
 
     def receive(self, source: str, message: object) -> None:
-        """Take a message without waiting.
+        """Queue a message without waiting.
 
         :param source: the name of the agent that sent it.
         """
 
-    def uses(self, name: str) -> bool:
+    def depends_on(self, name: str) -> bool:
         """Return whether the request depends on an agent."""
 
-    def check(self, now: float) -> None:
-        """Notice what is overdue; called now and then."""
+    def check_timeout(self, now: float) -> None:
+        """Detect overdue messages; called periodically."""
 
 
 class TargetPool:
-    """The agents that this entry may use."""
+    """The connections to the agents that this entry may use."""
 
     def __init__(
         self,
         process: Process,
         *,
-        peers_per_range: int = _PEERS_PER_RANGE,
+        peers_per_range: int = _MAX_PEERS_PER_RANGE,
     ) -> None:
         self.estimates = routing.Estimates(process.identity.name)
         self.receivers: dict[bytes, Receiver] = {}
@@ -63,33 +67,33 @@
         self._peers_per_range = peers_per_range
         self._peers: dict[str, wire.Peer] = {}
         self._draining: set[str] = set()
-        self._active = 0
+        self._active_count = 0
         self._options: dict[str, list[routing.StageOption]] = {}
         self._nursery: trio.Nursery | None = None
-        self._came_up = trio.Event()
+        self._peer_connected = trio.Event()
 
     @property
     def connected(self) -> int:
-        """How many agents are connected."""
+        """The number of connected agents."""
         return sum(peer.up for peer in self._peers.values())
 
     async def run(
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Keep the connections that the configuration asks for."""
+        """Maintain the connections that the configuration requires."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
-            self._refresh()
-            self._process.view.listen(self._refresh)
+            self._update_targets()
+            self._process.view.listen(self._update_targets)
             task_status.started()
             while True:
-                await trio.sleep(_CHECK_EVERY)
+                await trio.sleep(_CHECK_INTERVAL)
                 now = trio.current_time()
-                self._active = sum(
+                self._active_count = sum(
                     self.estimates.target(name).own > 0 for name in self._peers
                 )
                 for receiver in tuple(self.receivers.values()):
-                    receiver.check(now)
+                    receiver.check_timeout(now)
 
     # Choosing among targets.
 
@@ -99,16 +103,16 @@
         return peer if peer is not None and peer.up else None
 
     def is_reconnecting(self, name: str) -> bool:
-        """Return whether a new connection is being tried the first time."""
+        """Return whether the first attempt to reconnect is in progress."""
         peer = self._peers.get(name)
         return peer is not None and not peer.up and peer.failures < 2
 
     def is_usable(self, name: str) -> bool:
-        """Return whether new work may go to a target."""
+        """Return whether a target may receive new work."""
         return self.find(name) is not None and not self.is_draining(name)
 
     def is_draining(self, name: str) -> bool:
-        """Return whether a target is leaving, by anybody's word."""
+        """Return whether a target drains, as its agent or the view reports."""
         return name in self._draining or self._process.view.is_leaving(name)
 
     def list_options(
@@ -125,9 +129,9 @@
         """Return the usable targets of a plain service."""
         return [option.target for option in self.list_options(service)]
 
-    async def wait_came_up(self) -> None:
+    async def wait_for_connection(self) -> None:
         """Wait until another agent is connected."""
-        await self._came_up.wait()
+        await self._peer_connected.wait()
 
     # Sending.
 
@@ -143,8 +147,8 @@
 
     # Connections.
 
-    def _refresh(self) -> None:
-        """Follow the configuration and the directory."""
+    def _update_targets(self) -> None:
+        """Apply the current configuration and directory."""
         assert self._nursery is not None
         view = self._process.view
         wanted: dict[str, str] = {}
@@ -167,7 +171,7 @@
         self._reconnect(wanted)
         for name in list(self._peers):
             if self._process.view.is_leaving(name):
-                self._note_draining(name, "announced")
+                self._mark_draining(name, "announced")
 
     def _pick_subset(
         self, targets: list[configuration.Target]
@@ -191,12 +195,12 @@
             if wanted.get(name) == str(peer.address):
                 continue
             if peer.up and self._in_use(name):
-                # A target that was removed still ends what it runs.
+                # A removed target still completes its running requests.
                 continue
             del self._peers[name]
             self._draining.discard(name)
             peer.stop()
-            self._tell(PeerChanged(name, True, "it was removed or replaced"))
+            self._notify(PeerChanged(name, True, "it was removed or replaced"))
         for name, address in wanted.items():
             if name in self._peers:
                 continue
@@ -207,51 +211,54 @@
                 self._process.recorder,
                 self._process.make_hello,
                 self._handle,
-                came_up=self._note_up,
-                went_down=self._note_down,
-                read_pace=self._read_pace,
+                came_up=self._on_connected,
+                went_down=self._on_disconnected,
+                get_heartbeat_interval=self._get_heartbeat_interval,
             )
             self._peers[name] = peer
             self._nursery.start_soon(peer.run)
         self.estimates.forget(set(wanted))
 
-    def _read_pace(self, active: bool) -> float:
-        """Return the seconds between heartbeats on a quiet connection.
+    def _get_heartbeat_interval(self, active: bool) -> float:
+        """Return the seconds between heartbeats on an idle connection.
 
-        Connections with work and those without share the budget.  Where a
-        large fleet slows heartbeats down, a stream notices by its own
-        stall that something in its chain is silent.
+        Connections with and without work each have their share of the
+        control budget.  If a large fleet makes heartbeats infrequent, a
+        stream detects an unresponsive part of its chain by its own stall
+        timeout.
         """
-        count = self._active if active else len(self._peers)
+        count = self._active_count if active else len(self._peers)
         return count * 2 * defaults.HEARTBEAT_BYTES / defaults.CONTROL_BUDGET
 
     def _in_use(self, name: str) -> bool:
-        return any(r.uses(name) for r in self.receivers.values())
+        return any(r.depends_on(name) for r in self.receivers.values())
 
-    def _note_up(self, peer: wire.Peer) -> None:
+    def _on_connected(self, peer: wire.Peer) -> None:
         self._draining.discard(peer.name)
-        self._came_up.set()
-        self._came_up = trio.Event()
+        self._peer_connected.set()
+        self._peer_connected = trio.Event()
 
-    def _note_down(self, peer: wire.Peer, reason: str) -> None:
+    def _on_disconnected(self, peer: wire.Peer, reason: str) -> None:
         self.estimates.target(peer.name).failed_at = trio.current_time()
         if peer.failures > 1:
             return
         self._process.recorder.record(
             "target-lost", target=peer.name, why=reason
         )
-        self._tell(PeerChanged(peer.name, True, reason))
+        self._notify(PeerChanged(peer.name, True, reason))
 
-    def _note_draining(self, name: str, why: str) -> None:
+    def _mark_draining(self, name: str, reason: str) -> None:
         if name in self._draining:
             return
         self._draining.add(name)
-        self._process.recorder.record("target-leaving", target=name, why=why)
-        self._tell(PeerChanged(name, False, why))
+        self._process.recorder.record(
+            "target-leaving", target=name, why=reason
+        )
+        self._notify(PeerChanged(name, False, reason))
 
-    def _tell(self, change: PeerChanged) -> None:
+    def _notify(self, change: PeerChanged) -> None:
         for receiver in tuple(self.receivers.values()):
-            if receiver.uses(change.name):
+            if receiver.depends_on(change.name):
                 receiver.receive(change.name, change)
 
     async def _handle(
@@ -266,42 +273,42 @@
                         receiver.receive(name, token)
             case messages.Answer():
                 if not message.more and not message.replayed:
-                    self._note_load(name, message.load)
-                self._pass_on(message.request, name, message)
+                    self._record_load(name, message.load)
+                self._deliver(message.request, name, message)
             case messages.StageOpened():
-                self._note_load(name, message.load)
-                self._pass_on(message.stream, name, message)
+                self._record_load(name, message.load)
+                self._deliver(message.stream, name, message)
             case messages.Refused() | messages.StageLost():
-                if _is_failure(message, name):
+                if _is_own_engine_failure(message, name):
                     self.estimates.target(name).failed_at = trio.current_time()
-                self._pass_on(message.stream, name, message)
+                self._deliver(message.stream, name, message)
             case messages.Claimed():
-                self._pass_on(message.request, name, message)
+                self._deliver(message.request, name, message)
             case messages.Pong():
-                self._note_load(name, message.load)
+                self._record_load(name, message.load)
             case messages.Instances():
                 self._process.feed.handle(connection, message)
             case _:
                 return
 
-    def _pass_on(self, request: bytes, source: str, message: object) -> None:
+    def _deliver(self, request: bytes, source: str, message: object) -> None:
         receiver = self.receivers.get(request)
         if receiver is not None:
             receiver.receive(source, message)
 
-    def _note_load(self, name: str, load: messages.Load) -> None:
+    def _record_load(self, name: str, load: messages.Load) -> None:
         self.estimates.target(name).note_report(load)
         if load.draining:
-            self._note_draining(name, "its agent said so")
+            self._mark_draining(name, "its agent announced it")
         elif not self._process.view.is_leaving(name):
-            # The operator took the drain back.
+            # The operator has cancelled the drain.
             self._draining.discard(name)
 
 
-def _is_failure(
+def _is_own_engine_failure(
     message: messages.Refused | messages.StageLost, source: str
 ) -> bool:
-    """Return whether an agent says that its own engine fails."""
+    """Return whether an agent reports a failure of its own engine."""
     if isinstance(message, messages.Refused):
         return message.code == "engine_failing"
     return message.name == source
--- a/magnoliacove/entry/process.py
+++ b/magnoliacove/entry/process.py
@@ -1,4 +1,4 @@
-"""The entry: takes callers' requests and sees them through."""
+"""The entry process: accepts callers' requests and runs them."""
 
 from collections.abc import Sequence
 import contextlib
@@ -19,7 +19,7 @@
 from magnoliacove.entry.callers import CallersApp
 from magnoliacove.entry.distribution import Distribution
 from magnoliacove.entry.pool import TargetPool
-from magnoliacove.entry.runs import ServiceRuns
+from magnoliacove.entry.service_runner import ServiceRunner
 from magnoliacove.metrics import Meters
 from magnoliacove.metrics import serve_meters
 from magnoliacove.operators.service import OperatorsApp
@@ -33,13 +33,14 @@
 
 @dataclass(frozen=True)
 class EntryParts:
-    """What an entry is put together from.
+    """The dependencies and settings of an entry.
 
     :param callers: a listening socket for callers.
     :param operators: a listening socket for operators' calls, or None.
-    :param operator_keys: SHA-256 of each operator's key, and its name.
+    :param operator_keys: operators' names by the SHA-256 of their keys.
     :param seeds: peers to ask when the platform's store is down.
     :param meters: a listening socket for metrics, or None.
+    :param room: the number of requests that may run at the same time.
     """
 
     identity: Identity
@@ -70,7 +71,7 @@
         self._parts = parts
         self._meters = Meters(self._read_gauges, self._is_ready)
         self.admission = limits.Admission(lambda: parts.room)
-        self.runs = ServiceRuns(
+        self.runner = ServiceRunner(
             self.process.view,
             self.pool,
             parts.chooser or routing.ExpectedDelay(),
@@ -82,7 +83,7 @@
         self.app = CallersApp(
             self.process.view,
             self.pool,
-            self.runs,
+            self.runner,
             self.process.recorder,
             self._meters,
             lambda: self.process.leaving,
@@ -118,14 +119,14 @@
             task_status.started(address)
 
     async def drain(self) -> None:
-        """Take no new requests and return once all are answered."""
+        """Stop accepting requests and return when all have completed."""
         process = self.process
         process.leaving = True
         process.recorder.record("draining", why="the instance is stopping")
         await self.distribution.release()
         with trio.move_on_after(defaults.DRAIN_TIMEOUT) as scope:
-            # The balancer needs a moment to see that this entry is not
-            # ready; what it still sends is answered.
+            # The load balancer needs a moment to detect that this entry is
+            # no longer ready; requests that it still sends are served.
             await trio.sleep(0.5)
             while self.app.in_progress:
                 await trio.sleep(0.05)
@@ -134,13 +135,13 @@
             why="it took too long" if scope.cancelled_caught else "",
             left=self.app.in_progress,
         )
-        gone = process.describe("gone")
-        process.view.adopt_entries([gone])
+        departed = process.describe("gone")
+        process.view.adopt_entries([departed])
         with trio.move_on_after(defaults.STORE_TIMEOUT):
             with contextlib.suppress(
                 errors.PlatformError, platform.VersionConflictError
             ):
-                await process.api.delete(gone.object_name)
+                await process.api.delete(departed.object_name)
 
     async def _serve_http(
         self,
@@ -182,8 +183,8 @@
             "feed_subscribers": self.process.feed.subscribers,
             "distributor": float(self.distribution.lease.held),
             "store_reachable": float(self.process.store.reachable),
-            "retries_spent": self.runs.budget.spent,
-            "retries_denied": self.runs.budget.denied,
+            "retries_spent": self.runner.budget.spent,
+            "retries_denied": self.runner.budget.denied,
             "requests_in_progress": self.app.in_progress,
             **limits.describe_admission(self.admission),
         }
--- a/magnoliacove/entry/replanning.py
+++ b/magnoliacove/entry/replanning.py
@@ -1,8 +1,8 @@
-"""Planning a stream's chain anew after a loss.
+"""Replanning of a stream's chain after an interruption.
 
-What lives of a chain is kept: the gap that lost stages leave is filled by
-other targets, and only where that cannot be done the whole chain is chosen
-again, on which every step runs once more.
+Surviving stages are kept, and other targets fill the gap that failed stages
+leave.  Only if that is not possible, a whole new chain is chosen, on which
+every step runs again.
 """
 
 from collections.abc import Callable
@@ -14,23 +14,26 @@
 from magnoliacove import routing
 from magnoliacove.entry.pool import TargetPool
 
-__all__ = ["ChainLost", "ChainPlanner", "HeldChain"]
+__all__ = ["ChainInterrupted", "ChainPlanner", "StreamChain"]
 
-# A target that troubled this stream is left out for so long, in seconds, if
-# there are others.
-_AVOIDED = 5.0
+# Seconds for which a stream avoids a target that failed it, if there are
+# other targets.
+_AVOID_DURATION = 5.0
+# Seconds that a stream waits for a new connection to a target.
 _RECONNECT_TIMEOUT = 0.5
+# Seconds between two checks whether that connection is open.
 _RECONNECT_POLL = 0.01
 
 
-class ChainLost(Exception):
-    """The chain cannot go on as it is.
+class ChainInterrupted(Exception):
+    """Raised when the chain cannot continue unchanged.
 
-    :param names: the targets to be replaced; none when the same chain is
-        only to be told a new attempt.
-    :param movable: those of them that still hold their KV cache.
-    :param whole: nothing of the chain can be used any longer.
-    :param reconnect: the targets may be there again on a new connection.
+    :param names: the targets to replace; empty when the same chain only
+        needs a new attempt.
+    :param movable: the targets among them that still have their KV cache.
+    :param whole: whether no stage of the chain is usable any longer.
+    :param reconnect: whether the targets may be reachable on a new
+        connection.
     """
 
     def __init__(
@@ -50,11 +53,16 @@
 
 
 @dataclass
-class HeldChain:
-    """The present chain, and which of its stages are held already."""
+class StreamChain:
+    """A chain, and which of its stages are already open.
+
+    :param opened: the targets whose stage is open.
+    :param imports: for each target that imports a KV cache, the address
+        of the agent to import it from.
+    """
 
     stages: routing.Chain = ()
-    held: set[str] = field(default_factory=set)
+    opened: set[str] = field(default_factory=set)
     imports: dict[str, str] = field(default_factory=dict)
 
     @property
@@ -66,7 +74,7 @@
 class ChainPlanner:
     """Chooses the chains of one stream.
 
-    :param layers: how many layers the model has.
+    :param layers: the number of layers of the model.
     :param address_of: returns a target's address by its name, or "".
     """
 
@@ -86,31 +94,44 @@
         self._avoided: dict[str, float] = {}
 
     def avoid(self, target: str) -> None:
-        """Leave a target out for a while, if there are others."""
+        """Avoid a target for a while, if there are others."""
         self._avoided[target] = trio.current_time()
 
-    async def try_reconnect(self, loss: ChainLost) -> ChainLost:
-        """Tell a dead connection from a dead target.
+    async def try_reconnect(
+        self, interruption: ChainInterrupted
+    ) -> ChainInterrupted:
+        """Distinguish a broken connection from a failed target.
 
-        A connection may be dead while its target lives.  Replacing the
-        target would then run its layers again for nothing, so a new
-        connection is given a moment; a dead target refuses it at once.
+        A connection may break while its target still works.  Replacing the
+        target would then run its layers again without need, so this waits
+        briefly for a new connection; a failed target refuses it at once.
 
-        :returns: the loss, naming only the targets that are gone.
+        :returns: the interruption, naming only the unreachable targets.
         """
         with trio.move_on_after(_RECONNECT_TIMEOUT):
-            while any(self._pool.is_reconnecting(n) for n in loss.names):
+            while any(
+                self._pool.is_reconnecting(n) for n in interruption.names
+            ):
                 await trio.sleep(_RECONNECT_POLL)
-        gone = frozenset(n for n in loss.names if not self._pool.find(n))
-        return ChainLost(str(loss), gone, loss.movable, whole=loss.whole)
+        unreachable = frozenset(
+            n for n in interruption.names if not self._pool.find(n)
+        )
+        return ChainInterrupted(
+            str(interruption),
+            unreachable,
+            interruption.movable,
+            whole=interruption.whole,
+        )
 
-    def replace(self, present: HeldChain, loss: ChainLost) -> HeldChain | None:
-        """Return the chain after a loss, None when there is none now."""
-        if loss.whole:
+    def replace(
+        self, present: StreamChain, interruption: ChainInterrupted
+    ) -> StreamChain | None:
+        """Return the chain after an interruption, or None if none exists."""
+        if interruption.whole:
             return self._choose_whole()
-        names = loss.names & set(present.names)
+        names = interruption.names & set(present.names)
         if not names:
-            return HeldChain(present.stages, present.held)
+            return StreamChain(present.stages, present.opened)
         stages: list[routing.ChainStage] = []
         imports: dict[str, str] = {}
         for gap, kept in _split(present.stages, names):
@@ -119,37 +140,41 @@
                 continue
             first, end = gap[0].first_layer, gap[-1].end_layer
             kept_names = frozenset(present.names)
-            found = self.choose(first, end, kept_names) or self.choose(
-                # A lost target that is usable again has started anew.  It
-                # goes before a whole new chain, on which the stages that
-                # lived would run all their steps again.
+            replacement = self.choose(first, end, kept_names) or self.choose(
+                # A failed target that is usable again has restarted.  It
+                # is preferred to a whole new chain, on which the surviving
+                # stages would run all their steps again.
                 first,
                 end,
                 kept_names - names,
             )
-            if found is None:
+            if replacement is None:
                 return self._choose_whole()
-            imports.update(_match_imports(gap, found, loss.movable))
-            stages.extend(found)
-        return HeldChain(
+            imports.update(
+                _match_imports(gap, replacement, interruption.movable)
+            )
+            stages.extend(replacement)
+        return StreamChain(
             tuple(stages),
-            present.held - names,
+            present.opened - names,
             {n: self._address_of(src) for n, src in imports.items()},
         )
 
-    def _choose_whole(self) -> HeldChain | None:
+    def _choose_whole(self) -> StreamChain | None:
         chain = self.choose(0, self._layers, frozenset())
-        return HeldChain(chain) if chain else None
+        return StreamChain(chain) if chain else None
 
     def choose(
         self, first: int, end: int, without: frozenset[str]
     ) -> routing.Chain | None:
-        """Return stages for a range of layers, None when there are none.
+        """Return stages for a range of layers, or None if there are none.
 
-        :param without: targets that are not to be used.
+        :param without: targets that must not be used.
         """
         now = trio.current_time()
-        recent = {n for n, at in self._avoided.items() if now - at < _AVOIDED}
+        recent = {
+            n for n, at in self._avoided.items() if now - at < _AVOID_DURATION
+        }
         for excluded in (without | recent, without):
             options = self._pool.list_options(self._service, excluded)
             chain = self._chooser.choose(
@@ -163,7 +188,7 @@
 def _split(
     stages: routing.Chain, names: frozenset[str] | set[str]
 ) -> list[tuple[list[routing.ChainStage], routing.ChainStage | None]]:
-    """Return the stages in order: runs of lost ones, and kept ones."""
+    """Return the stages in order: runs to replace, and kept stages."""
     parts: list[
         tuple[list[routing.ChainStage], routing.ChainStage | None]
     ] = []
@@ -183,13 +208,16 @@
 
 def _match_imports(
     gap: list[routing.ChainStage],
-    found: routing.Chain,
+    replacement: routing.Chain,
     movable: frozenset[str],
 ) -> dict[str, str]:
-    """Return, for each new stage, the old one with the same layers."""
+    """Map each new target to the old one that can export its cache.
+
+    Both must serve the same range of layers.
+    """
     old = {(s.first_layer, s.end_layer): s.target for s in gap}
     matched = {}
-    for stage in found:
+    for stage in replacement:
         source = old.get((stage.first_layer, stage.end_layer))
         if source in movable and source is not None:
             matched[stage.target] = source
--- a/magnoliacove/entry/runs.py
+++ b/magnoliacove/entry/service_runner.py
@@ -1,4 +1,4 @@
-"""Running requests on services: admission, limits, and what is recorded."""
+"""Runs requests on services, with admission, limits and event records."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -20,15 +20,15 @@
 from magnoliacove.timeline import Recorder
 from magnoliacove.wire import messages
 
-__all__ = ["ServiceRuns"]
+__all__ = ["ServiceRunner"]
 
 _DROPPED_HEADERS = frozenset([b"authorization", b"idempotency-key"])
 
 
-class ServiceRuns:
+class ServiceRunner:
     """Runs requests on models and on plain services.
 
-    :param budget: bounds the retries of all of them.
+    :param chooser: chooses the chains of streams.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
 
     async def run_model(
         self,
-        name: bytes,
+        request_id: bytes,
         account: configuration.ClientAccount,
         service: configuration.Service,
         request: openai.ModelRequest,
@@ -60,16 +60,15 @@
     ) -> None:
         """Run a request on a model.
 
-        :param name: the request's.
         :param emit: called with each token, and whether it is the last.
-        :raises magnoliacove.errors.RequestError: when it does not come to
-            its end.
+        :raises magnoliacove.errors.RequestError: when the request does not
+            complete.
         """
         began = trio.current_time()
         deadline = began + service.deadline
         first = True
 
-        async def time_first(text: bytes, end: bool) -> None:
+        async def emit_timed(text: bytes, end: bool) -> None:
             nonlocal first
             if first:
                 first = False
@@ -80,9 +79,9 @@
                 )
             await emit(text, end)
 
-        self._note_arrival(name, account, service)
+        self._record_arrival(request_id, account, service)
         stream_request = StreamRequest(
-            name,
+            request_id,
             service.name,
             service.layers,
             account.name,
@@ -103,7 +102,7 @@
                 self._recorder,
                 self._find_address,
             )
-            await stream.run(time_first)
+            await stream.run(emit_timed)
         self._meters.count(
             "tokens_total", len(stream.tokens), service=service.name
         )
@@ -111,7 +110,7 @@
             self._meters.count("streams_resumed_total", stream.resumed)
         self._recorder.record(
             "request-answered",
-            request=name,
+            request=request_id,
             tokens=len(stream.tokens),
             attempts=stream.attempt,
             milliseconds=round((trio.current_time() - began) * 1000, 1),
@@ -128,11 +127,11 @@
     ) -> None:
         """Run a request on a plain service.
 
-        :param path: the path and the query at the service.
+        :param path: the path and the query as the service receives them.
         :param send: called with each part of the answer.
-        :raises magnoliacove.errors.RequestError: when no answer comes.
+        :raises magnoliacove.errors.RequestError: when the call fails.
         """
-        self._note_arrival(exchange.name, account, service)
+        self._record_arrival(exchange.request_id, account, service)
         began = trio.current_time()
         deadline = began + service.deadline
         method = exchange.scope["method"]
@@ -142,7 +141,7 @@
             if key not in _DROPPED_HEADERS
         )
         call = messages.Call(
-            exchange.name,
+            exchange.request_id,
             service.name,
             account.name,
             method,
@@ -168,19 +167,19 @@
             ).run(send)
         self._recorder.record(
             "request-answered",
-            request=exchange.name,
+            request=exchange.request_id,
             milliseconds=round((trio.current_time() - began) * 1000, 1),
         )
 
-    def _note_arrival(
+    def _record_arrival(
         self,
-        name: bytes,
+        request_id: bytes,
         account: configuration.ClientAccount,
         service: configuration.Service,
     ) -> None:
         self._recorder.record(
             "request-arrived",
-            request=name,
+            request=request_id,
             account=account.name,
             service=service.name,
         )
--- a/magnoliacove/entry/streams.py
+++ b/magnoliacove/entry/streams.py
@@ -1,13 +1,15 @@
 """One stream of a model: its chain of stages, its tokens, its recovery.
 
-The entry feeds every step: a step goes to the first stage only once its
-token is here.  So no stage is ever ahead of what the entry knows, and a
-caller who reads slowly holds the stream back by itself.
-
-A loss leads to a new attempt.  Stages that live are told the new attempt
-and say which step they expect; a replacement begins with an imported KV
-cache or with nothing; then each stage sends its kept outputs from the step
-that the next one expects.  No stage that lived runs a step again.
+The entry sends each step to the first stage only after it has received the
+token of the previous step.  Therefore no stage is ever ahead of the tokens
+that the entry has received, and a caller that reads slowly slows the stream
+down without further flow control.
+
+An interruption starts a new attempt.  Surviving stages receive the number
+of the new attempt and report the step that they expect next; a replacement
+starts with an imported KV cache or empty; then each stage sends its
+retained outputs from the step that the following stage expects.  No
+surviving stage runs a step twice.
 """
 
 from collections import deque
@@ -21,12 +23,12 @@
 from magnoliacove import limits
 from magnoliacove import routing
 from magnoliacove.directory import Backoff
-from magnoliacove.entry.leaving import LeavingTargets
+from magnoliacove.entry.draining import DrainingTargets
 from magnoliacove.entry.pool import PeerChanged
 from magnoliacove.entry.pool import TargetPool
-from magnoliacove.entry.replanning import ChainLost
+from magnoliacove.entry.replanning import ChainInterrupted
 from magnoliacove.entry.replanning import ChainPlanner
-from magnoliacove.entry.replanning import HeldChain
+from magnoliacove.entry.replanning import StreamChain
 from magnoliacove.entry.stages import StageSender
 from magnoliacove.entry.stages import StreamRequest
 from magnoliacove.timeline import Recorder
@@ -34,21 +36,25 @@
 
 __all__ = ["Stream"]
 
+# Seconds within which all stages of a chain must open; the longer limit
+# applies when a stage imports a KV cache.
 _OPEN_TIMEOUT = 1.0
 _IMPORT_TIMEOUT = 10.0
-# A link's delay changes slowly, so not every token needs to teach it.
-_LEARN_EVERY = 8
+# Tokens between two samples of the chain's delay.  The delay of a link
+# changes slowly, so sampling every token is not necessary.
+_DELAY_SAMPLE_INTERVAL = 8
+# A token is overdue after this multiple of its expected time.
 _STALL_FACTOR = 10.0
 
 Emit = Callable[[bytes, bool], Awaitable[None]]
 
 
 class _Stalled:
-    """Tells a stream that its token is overdue."""
+    """Notifies a stream that its next token is overdue."""
 
 
 class Stream:
-    """Runs one stream and gives its tokens to the caller, each once."""
+    """Runs one stream and delivers each token to the caller exactly once."""
 
     def __init__(
         self,
@@ -70,42 +76,42 @@
         self._budget = budget
         self._recorder = recorder
         self._stages = StageSender(request, pool, address_of)
-        self._chain = HeldChain()
+        self._chain = StreamChain()
         self._inbox: deque[tuple[str, object]] = deque()
         self._arrived = trio.Event()
-        self._fed_at = 0.0
-        self._feeding = False
+        self._steps_sent_at = 0.0
+        self._awaiting_token = False
         self._ended = False
-        self._leaving = LeavingTargets()
+        self._draining = DrainingTargets()
 
-    # What the pool calls.
+    # Called by the pool.
 
     def receive(self, source: str, message: object) -> None:
-        """Take a message without waiting."""
+        """Queue a message without waiting."""
         self._inbox.append((source, message))
         self._arrived.set()
 
-    def uses(self, name: str) -> bool:
+    def depends_on(self, name: str) -> bool:
         """Return whether the stream depends on an agent."""
-        return self._stages.uses(name)
+        return self._stages.depends_on(name)
 
     # Running.
 
     async def run(self, emit: Emit) -> None:
-        """Run the stream to its end.
+        """Run the stream to completion.
 
-        :param emit: takes each token's text, once and in order, and
-            whether it is the last.
+        :param emit: called once for each token, in order, with its text
+            and whether it is the last.
         :raises magnoliacove.errors.RequestError: when the answer cannot
             be completed in time.
         """
         request = self._request
-        self._pool.receivers[request.name] = self
+        self._pool.receivers[request.request_id] = self
         try:
             with trio.move_on_at(request.deadline):
                 await self._run_to_end(emit)
         finally:
-            self._pool.receivers.pop(request.name, None)
+            self._pool.receivers.pop(request.request_id, None)
             reason = "finished" if self._ended else "abandoned"
             self._stages.close_all(self.attempt, reason)
         if not self._ended:
@@ -118,79 +124,84 @@
             )
 
     async def _run_to_end(self, emit: Emit) -> None:
-        loss: ChainLost | None = ChainLost("a new request", whole=True)
+        interruption: ChainInterrupted | None = ChainInterrupted(
+            "a new request", whole=True
+        )
         backoff = Backoff(0.02, 1.0)
         while not self._ended:
             try:
-                if loss is not None:
-                    await self._open_chain(loss)
-                    loss = None
-                await self._take_token(emit)
+                if interruption is not None:
+                    await self._open_chain(interruption)
+                    interruption = None
+                await self._handle_next(emit)
                 backoff.reset()
-            except ChainLost as why:
-                loss = self._merge(loss, why)
-                self._note_loss(loss)
+            except ChainInterrupted as exc:
+                interruption = self._merge(interruption, exc)
+                self._record_interruption(interruption)
                 if self.attempt > 1:
                     await backoff.pause()
 
-    def _merge(self, before: ChainLost | None, now: ChainLost) -> ChainLost:
-        """Return both losses as one: a second may come amid the first."""
-        if before is None or not before.names | now.names:
-            return now
-        return ChainLost(
-            str(now),
-            before.names | now.names,
-            (before.movable | now.movable) - (now.names - now.movable),
-            whole=before.whole or now.whole,
-            reconnect=now.reconnect,
+    def _merge(
+        self, previous: ChainInterrupted | None, latest: ChainInterrupted
+    ) -> ChainInterrupted:
+        """Merge two interruptions; a second may occur while recovering."""
+        if previous is None or not previous.names | latest.names:
+            return latest
+        return ChainInterrupted(
+            str(latest),
+            previous.names | latest.names,
+            (previous.movable | latest.movable)
+            - (latest.names - latest.movable),
+            whole=previous.whole or latest.whole,
+            reconnect=latest.reconnect,
         )
 
-    def _note_loss(self, loss: ChainLost) -> None:
+    def _record_interruption(self, interruption: ChainInterrupted) -> None:
         self._recorder.record(
             "stream-interrupted",
-            request=self._request.name,
-            target=",".join(sorted(loss.names)),
-            why=str(loss),
+            request=self._request.request_id,
+            target=",".join(sorted(interruption.names)),
+            why=str(interruption),
             attempt=self.attempt,
             tokens=len(self.tokens),
         )
-        avoided = frozenset() if loss.reconnect else loss.names
-        for name in avoided - loss.movable:
+        avoided = frozenset() if interruption.reconnect else interruption.names
+        for name in avoided - interruption.movable:
             self._planner.avoid(name)
         if self.attempt >= defaults.MAX_ATTEMPTS:
             raise errors.RequestError(
                 "no_stage",
                 f"the stream was interrupted {self.attempt} times, last "
-                f"because {loss}",
+                f"because {interruption}",
                 outcome=self._outcome(),
                 retry_after=2.0,
             )
 
     def _outcome(self) -> errors.Outcome:
-        fed = self._fed_at > 0
-        return errors.Outcome.MAY_HAVE_RUN if fed else errors.Outcome.NOT_RUN
+        sent = self._steps_sent_at > 0
+        return errors.Outcome.MAY_HAVE_RUN if sent else errors.Outcome.NOT_RUN
 
     # Opening and resuming.
 
-    async def _open_chain(self, loss: ChainLost) -> None:
+    async def _open_chain(self, interruption: ChainInterrupted) -> None:
         started = trio.current_time()
-        if loss.reconnect:
-            loss = await self._planner.try_reconnect(loss)
-        self._chain = await self._plan(loss)
+        if interruption.reconnect:
+            interruption = await self._planner.try_reconnect(interruption)
+        self._chain = await self._plan(interruption)
         self.attempt += 1
-        self._feeding = False
-        self._drop_old_messages()
+        self._awaiting_token = False
+        self._discard_stale_messages()
         self._stages.open_all(self._chain, self.attempt)
         steps = await self._collect_opened()
         if self.attempt > 1:
             self.resumed += 1
             wanted = [*steps[1:], len(self.tokens)]
             self._stages.replay_all(self._chain, self.attempt, wanted)
-        self._feed_from(steps[0])
+        self._send_steps_from(steps[0])
         self._recorder.record(
             "chain-opened" if self.attempt == 1 else "stream-resumed",
-            request=self._request.name,
-            why=str(loss),
+            request=self._request.request_id,
+            why=str(interruption),
             chain=[
                 f"{s.target}:{s.first_layer}-{s.end_layer}"
                 for s in self._chain.stages
@@ -201,45 +212,46 @@
             milliseconds=round((trio.current_time() - started) * 1000, 1),
         )
 
-    async def _plan(self, loss: ChainLost) -> HeldChain:
+    async def _plan(self, interruption: ChainInterrupted) -> StreamChain:
         """Return the chain for the next attempt.
 
-        :raises magnoliacove.errors.RequestError: when no targets hold the
-            layers that are needed.
+        :raises magnoliacove.errors.RequestError: when no targets serve
+            the required layers.
         """
         waiting = False
         while True:
-            chain = self._planner.replace(self._chain, loss)
+            chain = self._planner.replace(self._chain, interruption)
             if chain is not None:
                 return chain
-            if not self.tokens and not self._fed_at:
-                # Nothing ran yet and nobody can serve it: the caller is
-                # told at once rather than kept waiting.
+            if not self.tokens and not self._steps_sent_at:
+                # Nothing has run and no target can serve the request, so
+                # the caller receives the error at once instead of waiting.
                 raise errors.RequestError(
                     "no_target",
                     f"no usable targets hold all layers of "
                     f"{self._request.service}; see 'magnoliacove status'",
                     retry_after=2.0,
                 )
-            # Tokens were delivered already, so the stream waits for a
-            # replacement until its deadline.
+            # Tokens have already been delivered, so the stream waits for
+            # a replacement until its deadline.
             if not waiting:
                 waiting = True
                 self._recorder.record(
                     "stream-waiting",
-                    request=self._request.name,
-                    target=",".join(sorted(loss.names)),
-                    why="no usable target holds the layers that were lost",
+                    request=self._request.request_id,
+                    target=",".join(sorted(interruption.names)),
+                    why="no usable target serves the missing layers",
                 )
             with trio.move_on_after(0.2):
-                await self._pool.wait_came_up()
+                await self._pool.wait_for_connection()
 
-    def _drop_old_messages(self) -> None:
-        """Drop what arrived before this attempt was sent.
+    def _discard_stale_messages(self) -> None:
+        """Discard messages that arrived before this attempt is sent.
 
-        A loss that lies in the inbox is part of the plan already; taken
-        again it would end the new attempt, and a target that was away for
-        long leaves enough of them to use up all attempts.
+        The plan already covers a lost connection that is still in the
+        inbox.  Handling it again would end the new attempt, and a target
+        that was unreachable for long leaves enough of these messages to
+        use up all attempts.
         """
         kept = [
             (source, message)
@@ -259,28 +271,30 @@
                 if isinstance(message, messages.StageOpened):
                     if message.attempt == self.attempt and source in names:
                         steps[source] = message.next_step
-                        self._chain.held.add(source)
+                        self._chain.opened.add(source)
                 elif isinstance(message, messages.Refused):
-                    self._take_refusal(source, message)
+                    self._handle_refusal(source, message)
                 else:
-                    self._take_trouble(source, message)
-        silent = frozenset(names) - frozenset(steps)
-        if silent:
-            # The connection lives but the stage does not answer: its
+                    self._handle_event(source, message)
+        unanswered = frozenset(names) - frozenset(steps)
+        if unanswered:
+            # The connection works but the stage does not answer, so its
             # engine hangs.  Waiting longer would only delay the caller.
-            raise ChainLost("a stage did not answer in time", silent)
+            raise ChainInterrupted(
+                "a stage did not answer in time", unanswered
+            )
         return [steps[name] for name in names]
 
-    def _take_refusal(self, source: str, message: messages.Refused) -> None:
+    def _handle_refusal(self, source: str, message: messages.Refused) -> None:
         if message.attempt != self.attempt:
             return
         if message.code == "next_unreachable":
             names = self._chain.names
             after = names[names.index(source) + 1]
             self._pool.estimates.note_link_failure(source, after)
-            movable = frozenset([after] if after in self._chain.held else [])
-            raise ChainLost(message.reason, frozenset([after]), movable)
-        fresh = not self._fed_at
+            movable = frozenset([after] if after in self._chain.opened else [])
+            raise ChainInterrupted(message.reason, frozenset([after]), movable)
+        fresh = not self._steps_sent_at
         if fresh and not self._budget.try_spend():
             raise errors.RequestError(
                 "overloaded",
@@ -289,104 +303,114 @@
                 status=503,
                 retry_after=max(1.0, message.retry_after / 1000),
             )
-        raise ChainLost(
+        raise ChainInterrupted(
             f"{source} refused: {message.code}", frozenset([source])
         )
 
     # Steps and tokens.
 
-    def _feed_from(self, first: int) -> None:
-        """Send the first stage every step that it lacks."""
+    def _send_steps_from(self, first: int) -> None:
+        """Send the first stage all steps from the given one on."""
         items = tuple(
             self._make_step(step)
             for step in range(first, len(self.tokens) + 1)
         )
-        self._fed_at = trio.current_time()
-        self._feeding = True
+        self._steps_sent_at = trio.current_time()
+        self._awaiting_token = True
         if items:
             self._stages.post(self._chain.names[0], messages.Steps(items))
 
     def _make_step(self, step: int) -> messages.Step:
         payload = self.tokens[step - 1] if step else self._request.prompt
-        return messages.Step(self._request.name, self.attempt, step, payload)
+        return messages.Step(
+            self._request.request_id, self.attempt, step, payload
+        )
 
-    async def _take_token(self, emit: Emit) -> None:
+    async def _handle_next(self, emit: Emit) -> None:
         source, message = await self._next()
         if not isinstance(message, messages.Token):
-            self._take_trouble(source, message)
+            self._handle_event(source, message)
             return
         if (
             message.attempt != self.attempt
             or message.step != len(self.tokens)
             or source != self._chain.stages[-1].target
         ):
-            # Late, repeated, or of a chain that was given up.
+            # The token is late, repeated, or from an abandoned chain.
             return
-        if len(self.tokens) % _LEARN_EVERY == 0:
+        if len(self.tokens) % _DELAY_SAMPLE_INTERVAL == 0:
             self._pool.estimates.note_token(
-                self._chain.names, trio.current_time() - self._fed_at
+                self._chain.names, trio.current_time() - self._steps_sent_at
             )
         self.tokens.append(message.text)
         full = len(self.tokens) >= self._request.max_tokens
         last = message.end or full
-        trouble: ChainLost | None = None
+        interruption: ChainInterrupted | None = None
         if not last:
             try:
-                self._leaving.check(self._chain, self._planner)
-                self._feed_from(len(self.tokens))
-            except ChainLost as why:
-                trouble = why
+                self._draining.check(self._chain, self._planner)
+                self._send_steps_from(len(self.tokens))
+            except ChainInterrupted as exc:
+                interruption = exc
         await emit(message.text, message.end)
         self._ended = last
-        if trouble is not None:
-            raise trouble
+        if interruption is not None:
+            raise interruption
 
-    def check(self, now: float) -> None:
-        """Notice that no token came in time.
+    def check_timeout(self, now: float) -> None:
+        """Queue a stall if the next token is overdue.
 
-        The pool asks now and then; a timer for each token would cost a
-        tenth of what the token costs.
+        The pool calls this periodically; a timer for each token would add
+        a tenth to the cost of the token.
         """
-        if self._feeding and now - self._fed_at > self._patience():
-            self._feeding = False
+        if (
+            self._awaiting_token
+            and now - self._steps_sent_at > self._stall_timeout()
+        ):
+            self._awaiting_token = False
             self.receive("", _Stalled())
 
-    def _patience(self) -> float:
+    def _stall_timeout(self) -> float:
         expected = sum(
             self._pool.estimates.target(name).step_seconds()
             for name in self._chain.names
         )
         base = defaults.STALL_TIMEOUT
         if not self.tokens:
-            # The first step holds the whole prompt, and takes longer.
+            # The first step processes the whole prompt and takes longer.
             base *= 3
         return max(base, _STALL_FACTOR * expected)
 
-    # Trouble.
+    # Failures and departures of targets.
 
-    def _take_trouble(self, source: str, message: object) -> None:
+    def _handle_event(self, source: str, message: object) -> None:
         names = self._chain.names
         if isinstance(message, _Stalled):
-            # Nothing failed and nothing comes.  A new attempt makes every
-            # stage answer, and those that do not are replaced.
-            raise ChainLost("no token came in time")
+            # No failure was reported, but no token arrives.  In a new
+            # attempt every stage must answer; those that do not are
+            # replaced.
+            raise ChainInterrupted("no token came in time")
         if isinstance(message, PeerChanged) and message.name in names:
             if message.lost:
                 names_lost = frozenset([message.name])
-                raise ChainLost(message.reason, names_lost, reconnect=True)
-            self._leaving.note(message.name)
+                raise ChainInterrupted(
+                    message.reason, names_lost, reconnect=True
+                )
+            self._draining.record(message.name)
         if not isinstance(message, messages.StageLost):
             return
         if message.attempt != self.attempt or source not in names:
             return
         if not message.name:
-            raise ChainLost(message.reason, whole=True)
+            raise ChainInterrupted(message.reason, whole=True)
         if message.name == source:
-            raise ChainLost(message.reason, frozenset([source]))
-        # The link between two agents broke.  Both may live, so the same
-        # chain is tried again first; if the link stays broken the stage
-        # before it refuses, and the one after it is moved.
-        raise ChainLost(f"link {source} to {message.name}: {message.reason}")
+            raise ChainInterrupted(message.reason, frozenset([source]))
+        # The link between two agents broke.  Both agents may still work,
+        # so the same chain is retried first.  If the link stays broken,
+        # the stage before it refuses and the stage after it is moved.
+        raise ChainInterrupted(
+            f"link {source} to {message.name}: {message.reason}"
+        )
 
     async def _next(self) -> tuple[str, object]:
         while not self._inbox:
--- a/magnoliacove/process.py
+++ b/magnoliacove/process.py
@@ -167,7 +167,7 @@
                 stream,
                 self.recorder.clock,
                 self.make_hello,
-                read_pace=lambda _: defaults.FEED_PACE,
+                get_heartbeat_interval=lambda _: defaults.FEED_PACE,
             )
             async with trio.open_nursery() as nursery:
                 if watch is not None:
--- a/magnoliacove/wire/connection.py
+++ b/magnoliacove/wire/connection.py
@@ -51,7 +51,9 @@
         clock: Clock,
         hello: Callable[[], messages.Hello],
         *,
-        read_pace: Callable[[bool], float] = lambda _: defaults.PING_AFTER,
+        get_heartbeat_interval: Callable[[bool], float] = lambda _: (
+            defaults.PING_AFTER
+        ),
         make_pong: Callable[[int], messages.Pong] | None = None,
     ) -> None:
         self.remote: messages.Hello | None = None
@@ -61,7 +63,7 @@
         self._stream = stream
         self._clock = clock
         self._hello = hello
-        self._choose_pace = read_pace
+        self._choose_pace = get_heartbeat_interval
         self._posted = trio.current_time()
         self._make_pong = make_pong or (lambda n: messages.Pong(n))
         self._queue: deque[messages.Message] = deque()
@@ -279,7 +281,7 @@
         active = trio.current_time() - self._posted < defaults.ACTIVE_FOR
         return max(defaults.PING_AFTER, self._choose_pace(active))
 
-    async def check(self, timeout: float) -> bool:
+    async def probe(self, timeout: float) -> bool:
         """Send a heartbeat now; return whether anything comes back.
 
         :param timeout: seconds to wait.
--- a/magnoliacove/wire/peer.py
+++ b/magnoliacove/wire/peer.py
@@ -46,7 +46,9 @@
         *,
         came_up: Callable[["Peer"], None] = _do_nothing,
         went_down: Callable[["Peer", str], None] = _do_nothing,
-        read_pace: Callable[[bool], float] = lambda _: defaults.PING_AFTER,
+        get_heartbeat_interval: Callable[[bool], float] = lambda _: (
+            defaults.PING_AFTER
+        ),
     ) -> None:
         self.name = name
         self.address = address
@@ -58,7 +60,7 @@
         self._handle = handle
         self._came_up = came_up
         self._went_down = went_down
-        self._read_pace = read_pace
+        self._read_pace = get_heartbeat_interval
         self._ready = trio.Event()
         self._scope = trio.CancelScope()
 
@@ -107,7 +109,7 @@
                 stream,
                 self._recorder.clock,
                 self._hello,
-                read_pace=self._read_pace,
+                get_heartbeat_interval=self._read_pace,
             )
             await connection.run(self._handle, self._adopt)
         except errors.Error as why:
@@ -148,7 +150,7 @@
         recorder.clock,
         hello,
         # The dialling end sends heartbeats well before this.
-        read_pace=lambda _: defaults.ACCEPTED_PACE,
+        get_heartbeat_interval=lambda _: defaults.ACCEPTED_PACE,
         make_pong=make_pong,
     )
     try:
--- a/measure/slopes.py
+++ b/measure/slopes.py
@@ -201,7 +201,7 @@
                 recorder,
                 hello,
                 ignore,
-                read_pace=lambda _: pace,
+                get_heartbeat_interval=lambda _: pace,
             )
             for n in range(count)
         ]
