--- a/magnoliacove/entry/draining.py
+++ b/magnoliacove/entry/draining.py
@@ -16,7 +16,7 @@
     def __init__(self) -> None:
         self._since: dict[str, float] = {}
 
-    def record(self, name: str) -> None:
+    def mark_draining(self, name: str) -> None:
         """Record that a target is draining."""
         self._since.setdefault(name, trio.current_time())
 
--- a/magnoliacove/entry/streams.py
+++ b/magnoliacove/entry/streams.py
@@ -396,7 +396,7 @@
                 raise ChainInterrupted(
                     message.reason, names_lost, reconnect=True
                 )
-            self._draining.record(message.name)
+            self._draining.mark_draining(message.name)
         if not isinstance(message, messages.StageLost):
             return
         if message.attempt != self.attempt or source not in names:
--- a/magnoliacove/wire/__init__.py
+++ b/magnoliacove/wire/__init__.py
@@ -1,4 +1,4 @@
-"""The protocol between our own processes."""
+"""The protocol between magnoliacove processes."""
 
 from typing import TYPE_CHECKING
 
--- a/magnoliacove/wire/codec.py
+++ b/magnoliacove/wire/codec.py
@@ -1,6 +1,6 @@
-"""The Cap'n Proto encoding of the messages between our processes.
+"""The Cap'n Proto encoding of the messages between processes.
 
-Steps and tokens have encoders of their own, since they are written once per
+Steps and tokens have dedicated encoders, because they are written once per
 token.
 """
 
@@ -56,7 +56,8 @@
 
 _schema = capnp.load(str(pathlib.Path(__file__).with_name("schema.capnp")))
 
-# Messages that the schema holds as one plain value or one list.
+# Messages that the schema represents as a single value or list, with the
+# member of the frame and the field of the data class.
 _WRAPPED: dict[type, tuple[str, str]] = {
     CancelCall: ("cancelCall", "request"),
     Snapshot: ("snapshot", "data"),
@@ -102,7 +103,7 @@
 
 @dataclass(frozen=True)
 class _Layout:
-    """How one data class maps to its struct."""
+    """The mapping of one data class to its struct."""
 
     kind: type
     names: tuple[tuple[str, str], ...] = field(default=())
@@ -147,7 +148,7 @@
 
 
 def encode(message: Message, clock: int) -> bytes:
-    """Return the frame's bytes, without the length before them."""
+    """Encode a frame, without its length prefix."""
     frame = _schema.Frame.new_message()
     frame.clock = clock
     if isinstance(message, Steps):
@@ -183,9 +184,10 @@
 
 
 def decode(data: bytes) -> tuple[Message, int]:
-    """Return the message of a frame and its clock reading.
+    """Decode a frame; return its message and its clock reading.
 
-    :raises magnoliacove.errors.ProtocolError: when the bytes are no frame.
+    :raises magnoliacove.errors.ProtocolError: when the bytes are not a
+        valid frame.
     """
     try:
         with _schema.Frame.from_bytes(data) as frame:
--- a/magnoliacove/wire/connection.py
+++ b/magnoliacove/wire/connection.py
@@ -1,7 +1,7 @@
-"""One connection between two of our processes.
+"""A connection between two magnoliacove processes.
 
-Three tasks serve a connection: one reads frames, one writes what has
-queued up, one sends heartbeats and notices silence.
+Three tasks serve a connection: one reads frames, one writes the queued
+messages, and one sends heartbeats and detects an unresponsive peer.
 """
 
 from collections import deque
@@ -22,12 +22,17 @@
 
 Handler = Callable[["Connection", messages.Message], Awaitable[None]]
 
-_LENGTH = 4
+# Bytes of the length prefix of a frame.
+_LENGTH_BYTES = 4
+# Bytes to read at once.
 _READ_SIZE = 65536
-_CHECK_STEP = 0.01
-_IDLE_CHECK = 1.0
+# Seconds between two checks for an answer to a probe.
+_PROBE_POLL = 0.01
+# The most seconds between two checks for an unresponsive peer.
+_MAX_CHECK_INTERVAL = 1.0
+# Seconds after a heartbeat within which something must arrive.
 _ANSWER_TIMEOUT = defaults.SILENCE_TIMEOUT - defaults.PING_AFTER
-_LOSSES = (
+_CONNECTION_ERRORS = (
     errors.PeerError,
     errors.ProtocolError,
     trio.BrokenResourceError,
@@ -36,13 +41,15 @@
 
 
 class Connection:
-    """A framed, heartbeating connection to one peer.
+    """A connection to one peer, with framing and heartbeats.
 
     :param stream: a connected trio stream, encrypted or not.
-    :param clock: the process's clock, carried on each frame.
-    :param hello: what this end says first.
-    :param read_pace: returns the seconds between heartbeats, told whether
-        something was sent lately.
+    :param clock: the process's clock; each frame carries its reading.
+    :param hello: returns the first message that this end sends.
+    :param get_heartbeat_interval: returns the seconds between heartbeats;
+        its argument is whether a message was sent recently.
+    :param make_pong: returns the answer to a heartbeat, by its sequence
+        number.
     """
 
     def __init__(
@@ -63,14 +70,14 @@
         self._stream = stream
         self._clock = clock
         self._hello = hello
-        self._choose_pace = get_heartbeat_interval
-        self._posted = trio.current_time()
+        self._choose_heartbeat_interval = get_heartbeat_interval
+        self._last_posted = trio.current_time()
         self._make_pong = make_pong or (lambda n: messages.Pong(n))
         self._queue: deque[messages.Message] = deque()
         self._queued = trio.Event()
-        self._room = trio.Event()
-        self._room.set()
-        self._heard = trio.current_time()
+        self._queue_below_half = trio.Event()
+        self._queue_below_half.set()
+        self._last_received = trio.current_time()
         self._sequence = 0
         self._closed = False
         self._scope: trio.CancelScope | None = None
@@ -78,19 +85,19 @@
 
     @property
     def name(self) -> str:
-        """The peer's name, or "" before its hello."""
+        """The peer's name, or "" before its hello has arrived."""
         return self.remote.name if self.remote else ""
 
     @property
     def closed(self) -> bool:
-        """Whether nothing can be sent any longer."""
+        """Whether the connection can no longer send messages."""
         return self._closed
 
     def post(self, message: messages.Message) -> None:
         """Queue a message without waiting.
 
         :raises magnoliacove.errors.PeerError: when the connection is
-            closed, or so much is queued that the peer must be stuck.
+            closed, or the queue is full because the peer does not read.
         """
         if self._closed:
             raise errors.PeerError(
@@ -98,10 +105,10 @@
                 "it is opened again by itself"
             )
         if len(self._queue) >= defaults.MAX_QUEUED_FRAMES:
-            # A peer that takes nothing would let the queue grow until
-            # this process runs out of memory and takes every other
-            # stream with it.  Closing costs only this peer's streams,
-            # and those resume elsewhere.
+            # For a peer that does not read, the queue would grow until
+            # this process runs out of memory and all its other streams
+            # fail.  Closing affects only this peer's streams, and those
+            # resume elsewhere.
             self.close()
             raise errors.PeerError(
                 f"{self.name} takes messages too slowly; its connection "
@@ -110,20 +117,20 @@
         self._queue.append(message)
         self._queued.set()
         if not isinstance(message, messages.Ping | messages.Pong):
-            self._posted = trio.current_time()
+            self._last_posted = trio.current_time()
         if len(self._queue) >= defaults.MAX_QUEUED_FRAMES // 2:
-            self._room = trio.Event()
+            self._queue_below_half = trio.Event()
 
     async def send(self, message: messages.Message) -> None:
-        """Queue a message, waiting while the queue is half full."""
-        while not self._room.is_set() and not self._closed:
-            await self._room.wait()
+        """Queue a message; wait first while the queue is half full or more."""
+        while not self._queue_below_half.is_set() and not self._closed:
+            await self._queue_below_half.wait()
         self.post(message)
 
     def close(self) -> None:
-        """End the connection and the tasks that serve it."""
+        """Close the connection and cancel the tasks that serve it."""
         self._closed = True
-        self._room.set()
+        self._queue_below_half.set()
         if self._scope is not None:
             self._scope.cancel()
 
@@ -135,47 +142,51 @@
         """Serve the connection until it ends.
 
         :param handle: called with each message.
-        :param ready: called once, when both ends have said hello.
-        :raises magnoliacove.errors.PeerError: when the peer is gone or
-            silent.
-        :raises magnoliacove.errors.ProtocolError: when the peer does not
-            keep to the protocol.
+        :param ready: called once, after both ends have sent their hello.
+        :raises magnoliacove.errors.PeerError: when the connection is lost
+            or closed, or the peer is unresponsive.
+        :raises magnoliacove.errors.ProtocolError: when the peer violates
+            the protocol.
         """
         try:
             with trio.CancelScope() as self._scope:
-                await self._shake_hands()
+                await self._handshake()
                 if ready is not None:
                     ready(self)
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(self._write)
-                    nursery.start_soon(self._watch_silence)
+                    nursery.start_soon(self._monitor_peer)
                     await self._read(handle)
-        except _LOSSES as why:
-            raise self._translate(why) from why
+        except _CONNECTION_ERRORS as exc:
+            raise self._to_package_error(exc) from exc
         except BaseExceptionGroup as group:
-            # Reading and writing may fail at once, each in its own way;
-            # it is one loss, and its handlers know single errors only.
-            losses, others = group.split(_LOSSES)
-            if others is not None or losses is None:
-                # The process is being stopped at that very moment, or has
-                # a fault of its own; the loss no longer matters.
+            # Reading and writing may fail at the same time with different
+            # errors.  This is one failure of the connection, and callers
+            # handle single errors only.
+            connection_errors, others = group.split(_CONNECTION_ERRORS)
+            if others is not None or connection_errors is None:
+                # The process is being stopped at the same moment, or has
+                # an internal error; either takes precedence over the
+                # failure of the connection.
                 raise (others or group) from None
-            raise self._translate(_find_first(losses)) from group
+            raise self._to_package_error(
+                _pick_error(connection_errors)
+            ) from group
         finally:
             self._closed = True
-            self._room.set()
+            self._queue_below_half.set()
             with trio.CancelScope(shield=True, deadline=0):
                 await trio.aclose_forcefully(self._stream)
         raise errors.PeerError(f"the connection to {self.name} was closed")
 
-    def _translate(self, why: BaseException) -> errors.Error:
-        if isinstance(why, errors.Error):
-            return why
+    def _to_package_error(self, exc: BaseException) -> errors.Error:
+        if isinstance(exc, errors.Error):
+            return exc
         return errors.PeerError(
             f"the connection to {self.name or 'a peer'} broke"
         )
 
-    async def _shake_hands(self) -> None:
+    async def _handshake(self) -> None:
         await self._send_now([self._hello()])
         with trio.move_on_after(defaults.CONNECT_TIMEOUT) as scope:
             remote = await self._read_message()
@@ -205,7 +216,7 @@
             await handle(self, message)
 
     async def _read_message(self) -> messages.Message:
-        size = int.from_bytes(await self._read_exactly(_LENGTH), "big")
+        size = int.from_bytes(await self._read_exactly(_LENGTH_BYTES), "big")
         if size > defaults.MAX_FRAME:
             raise errors.ProtocolError(
                 f"a peer announced a frame of {size} bytes; the most is "
@@ -222,7 +233,7 @@
                 raise errors.PeerError(
                     f"{self.name or 'a peer'} closed the connection"
                 )
-            self._heard = trio.current_time()
+            self._last_received = trio.current_time()
             self.bytes_received += len(chunk)
             self._buffer += chunk
         data = bytes(self._buffer[:size])
@@ -237,14 +248,14 @@
             self._queued = trio.Event()
             batch = list(self._queue)
             self._queue.clear()
-            self._room.set()
-            await self._send_now(_gather(batch))
+            self._queue_below_half.set()
+            await self._send_now(_coalesce(batch))
 
     async def _send_now(self, batch: list[messages.Message]) -> None:
         parts = []
         for message in batch:
             data = codec.encode(message, self._clock.now())
-            parts.append(len(data).to_bytes(_LENGTH, "big"))
+            parts.append(len(data).to_bytes(_LENGTH_BYTES, "big"))
             parts.append(data)
         joined = b"".join(parts)
         self.bytes_sent += len(joined)
@@ -253,65 +264,67 @@
 
     # Liveness.
 
-    async def _watch_silence(self) -> None:
+    async def _monitor_peer(self) -> None:
         while True:
-            quiet = trio.current_time() - self._heard
-            pace = self._read_pace()
-            if quiet >= pace + _ANSWER_TIMEOUT:
-                # Something between the two ends may have forgotten the
-                # connection: nothing arrives and nothing fails.  The
-                # callers would wait for ever; closing makes the owner try
-                # a new connection, which tells a dead peer from a dead
-                # connection.
+            idle = trio.current_time() - self._last_received
+            interval = self._get_heartbeat_interval()
+            if idle >= interval + _ANSWER_TIMEOUT:
+                # A device between the two ends may have dropped the
+                # connection's state, so that nothing arrives and nothing
+                # fails.  Callers would wait forever.  Closing makes the
+                # owner open a new connection, which distinguishes a failed
+                # peer from a broken connection.
                 raise errors.PeerError(
-                    f"{self.name} was silent for {quiet:.1f} s"
+                    f"{self.name} was silent for {idle:.1f} s"
                 )
-            if quiet >= pace:
+            if idle >= interval:
                 self._sequence += 1
                 self.post(messages.Ping(self._sequence))
-            await trio.sleep(min(pace / 2, _IDLE_CHECK))
+            await trio.sleep(min(interval / 2, _MAX_CHECK_INTERVAL))
 
-    def _read_pace(self) -> float:
-        """Return the seconds of quiet after which a heartbeat is sent.
+    def _get_heartbeat_interval(self) -> float:
+        """Return the idle seconds after which a heartbeat is sent.
 
-        A connection on which something was sent lately has somebody who
-        waits for it, and is watched closely.  The many that are idle at a
-        large fleet would use up the budget for control at that pace.
+        A connection on which a message was sent recently has a caller
+        waiting for it and is checked often.  At that interval, the many
+        idle connections of a large fleet would exceed the control budget.
         """
-        active = trio.current_time() - self._posted < defaults.ACTIVE_FOR
-        return max(defaults.PING_AFTER, self._choose_pace(active))
+        active = trio.current_time() - self._last_posted < defaults.ACTIVE_FOR
+        return max(
+            defaults.PING_AFTER, self._choose_heartbeat_interval(active)
+        )
 
     async def probe(self, timeout: float) -> bool:
-        """Send a heartbeat now; return whether anything comes back.
+        """Send a heartbeat now; return whether anything arrives in time.
 
         :param timeout: seconds to wait.
         """
-        asked, before = trio.current_time(), self.bytes_received
+        started, before = trio.current_time(), self.bytes_received
         with contextlib.suppress(errors.PeerError):
             self._sequence += 1
             self.post(messages.Ping(self._sequence))
-            while trio.current_time() < asked + timeout:
+            while trio.current_time() < started + timeout:
                 if self.bytes_received > before:
                     return True
-                await trio.sleep(_CHECK_STEP)
+                await trio.sleep(_PROBE_POLL)
         return self.bytes_received > before
 
 
-def _find_first(group: BaseExceptionGroup[Any]) -> BaseException:
-    """Return one error of a group, our own before the library's."""
-    found: list[BaseException] = [group]
-    for error in found:
+def _pick_error(group: BaseExceptionGroup[Any]) -> BaseException:
+    """Return one error of a group, preferring magnoliacove's own."""
+    pending: list[BaseException] = [group]
+    for error in pending:
         if isinstance(error, BaseExceptionGroup):
-            found.extend(error.exceptions)
-    single = [e for e in found if not isinstance(e, BaseExceptionGroup)]
+            pending.extend(error.exceptions)
+    single = [e for e in pending if not isinstance(e, BaseExceptionGroup)]
     return min(single, key=lambda e: not isinstance(e, errors.Error))
 
 
-def _gather(batch: list[messages.Message]) -> list[messages.Message]:
-    """Join neighbouring lists of steps, and of tokens, into one frame.
+def _coalesce(batch: list[messages.Message]) -> list[messages.Message]:
+    """Merge adjacent lists of steps, and of tokens, into one frame.
 
-    Order is kept, and nothing waits for more to gather: only what queued
-    up during the previous write goes out together.
+    The order is kept, and no message is delayed for batching: only messages
+    queued during the previous write are merged.
     """
     joined: list[messages.Message] = []
     run: list[Any] = []
@@ -319,18 +332,18 @@
     for message in batch:
         if isinstance(message, messages.Steps | messages.Tokens):
             if type(message) is not kind:
-                _close_run(joined, kind, run)
+                _flush_run(joined, kind, run)
                 kind, run = type(message), []
             run.extend(message.items)
             continue
-        _close_run(joined, kind, run)
+        _flush_run(joined, kind, run)
         kind, run = None, []
         joined.append(message)
-    _close_run(joined, kind, run)
+    _flush_run(joined, kind, run)
     return joined
 
 
-def _close_run(
+def _flush_run(
     joined: list[messages.Message], kind: Any, run: list[Any]
 ) -> None:
     if run:
--- a/magnoliacove/wire/messages.py
+++ b/magnoliacove/wire/messages.py
@@ -1,7 +1,7 @@
-"""The messages between our processes.
+"""The messages between processes.
 
-The data classes mirror ``schema.capnp`` field by field; ``codec.py`` writes
-and reads them.
+The data classes mirror ``schema.capnp`` field by field; ``codec.py`` encodes
+and decodes them.
 """
 
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """What a target reports of its load, at the time of sending."""
+    """A target's load at the time of sending."""
 
     running: int = 0
     queued: int = 0
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """The first message of either end."""
+    """The first message that each end sends."""
 
     protocol_version: int
     name: str
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """A heartbeat, sent when a connection has been quiet."""
+    """A heartbeat, sent when a connection has been idle."""
 
     sequence: int
     configuration_version: int = 0
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenStage:
-    """Asks an agent to hold one range of layers for one stream."""
+    """Asks an agent to open or resume one range of layers for a stream."""
 
     stream: bytes
     attempt: int
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StageOpened:
-    """Says that a stage is held and which step it expects next."""
+    """Reports that a stage is open, and the step that it expects next."""
 
     stream: bytes
     attempt: int
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Says that a stage or a call will not be served, and what ran."""
+    """Refuses a stage or a call, and reports whether it may have run."""
 
     stream: bytes
     attempt: int
@@ -113,21 +113,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Steps:
-    """Inputs for several streams of one agent."""
+    """Inputs for several streams of one agent, in one frame."""
 
     items: tuple[Step, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Tokens:
-    """Tokens for several streams of one entry."""
+    """Tokens for several streams of one entry, in one frame."""
 
     items: tuple[Token, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Replay:
-    """Asks a stage to send its kept outputs again, from one step on."""
+    """Asks a stage to resend its retained outputs from one step on."""
 
     stream: bytes
     attempt: int
@@ -136,7 +136,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseStage:
-    """Says that a stream is over and its stage can be forgotten."""
+    """Announces that a stream has ended and its stage can be discarded."""
 
     stream: bytes
     attempt: int
@@ -145,7 +145,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StageLost:
-    """Says that an agent, or the link to it, is lost to a stream."""
+    """Reports that a stream has lost an agent, or the link to it."""
 
     stream: bytes
     attempt: int
@@ -155,7 +155,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchCache:
-    """Asks an agent that is leaving for a stage's KV cache."""
+    """Requests a stage's KV cache from a draining agent."""
 
     stream: bytes
     attempt: int
@@ -163,7 +163,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cache:
-    """A stage's KV cache and kept outputs."""
+    """A stage's KV cache and retained outputs."""
 
     stream: bytes
     attempt: int
@@ -214,14 +214,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelCall:
-    """Says that nobody waits for a call's answer any longer."""
+    """Cancels a call whose answer is no longer needed."""
 
     request: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Asks for the configuration and the directory, now and later."""
+    """Subscribes to the configuration and the directory."""
 
     configuration_version: int
     instances: tuple[bytes, ...] = ()
@@ -229,14 +229,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """A whole configuration document."""
+    """A complete configuration document."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Changes:
-    """Configuration changes in order of their versions."""
+    """Configuration changes, ordered by version."""
 
     items: tuple[bytes, ...]
 
@@ -250,7 +250,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EventsQuery:
-    """Asks for recorded events."""
+    """Requests recorded events."""
 
     request: str = ""
     target: str = ""
@@ -266,7 +266,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """An order to an engine, under the fencing number of a lease."""
+    """An order to an engine, with the fencing token of a lease."""
 
     order: bytes
     holder: str
@@ -277,7 +277,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderResult:
-    """What became of an order."""
+    """The result of an order."""
 
     order: bytes
     applied: bool
@@ -286,14 +286,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Goodbye:
-    """Says that the sender closes the connection, and why."""
+    """Announces that the sender closes the connection, with the reason."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Vouch:
-    """Asks a key's former owner whether the key was ever used."""
+    """Asks the former owner of an idempotency key whether it was used."""
 
     request: bytes
     service: str
@@ -304,7 +304,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Vouched:
-    """Says whether a key was used at the asked agent."""
+    """Reports whether a key was used at the agent that was asked."""
 
     request: bytes
     seen: bool
@@ -312,7 +312,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """Takes an idempotency key at its owner, for a model's request."""
+    """Claims an idempotency key at its owner, for a request to a model."""
 
     request: bytes
     service: str
@@ -325,7 +325,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Claimed:
-    """Says that a key is taken, or gives the answer it led to before."""
+    """Confirms a claim, or returns the recorded answer for the key."""
 
     request: bytes
     replayed: bool = False
@@ -334,7 +334,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimDone:
-    """Says what became of the request that a key was taken for."""
+    """Reports the outcome of the request that claimed a key."""
 
     request: bytes
     ran: bool
--- a/magnoliacove/wire/network.py
+++ b/magnoliacove/wire/network.py
@@ -1,4 +1,4 @@
-"""Listening and dialling, with or without TLS on both sides."""
+"""Listening and connecting, optionally with mutual TLS."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -15,14 +15,14 @@
 
 @dataclass(frozen=True)
 class Address:
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     host: str
     port: int
 
     @classmethod
     def parse(cls, text: str) -> "Address":
-        """Read ``host:port``, with brackets around an IPv6 number."""
+        """Parse ``host:port``, with brackets around an IPv6 address."""
         host, _, port = text.rpartition(":")
         if not host or not port.isdigit() or int(port) > 65535:
             raise errors.UserError(
@@ -36,7 +36,7 @@
 
     @property
     def loopback(self) -> bool:
-        """Whether only this instance can reach the address."""
+        """Whether the address is reachable only from this instance."""
         return self.host in ("::1", "localhost") or self.host.startswith(
             "127."
         )
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True)
 class TlsFiles:
-    """The paths of a certificate, its key and the authority's bundle."""
+    """The paths of a certificate, its key and the CA bundle."""
 
     certificate: str
     key: str
@@ -52,9 +52,9 @@
 
 
 class Network:
-    """How this process reaches others, and is reached.
+    """Opens and accepts connections between processes.
 
-    :param tls: files for TLS with certificates on both sides, or None.
+    :param tls: files for mutual TLS, or None for plain TCP.
     """
 
     def __init__(self, tls: TlsFiles | None = None) -> None:
@@ -63,14 +63,15 @@
             return
         self._server = _make_context(ssl.PROTOCOL_TLS_SERVER, tls)
         self._client = _make_context(ssl.PROTOCOL_TLS_CLIENT, tls)
-        # Instances are addressed by IP numbers that change with each
-        # replacement, so the authority vouches for the peer, not a name.
+        # Instances are addressed by IP addresses that change with each
+        # replacement, so the CA authenticates the peer, not its host name.
         self._client.check_hostname = False
 
     async def connect(self, address: Address) -> trio.abc.Stream:
         """Open a connection.
 
-        :raises magnoliacove.errors.PeerError: when nobody answers in time.
+        :raises magnoliacove.errors.PeerError: when the peer cannot be
+            reached in time.
         """
         try:
             with trio.fail_after(defaults.CONNECT_TIMEOUT):
@@ -82,10 +83,10 @@
                 )
                 await secure.do_handshake()
                 return secure
-        except (OSError, trio.TooSlowError, trio.BrokenResourceError) as why:
+        except (OSError, trio.TooSlowError, trio.BrokenResourceError) as exc:
             raise errors.PeerError(
-                f"{address} cannot be reached: {why or 'no answer in time'}"
-            ) from why
+                f"{address} cannot be reached: {exc or 'no answer in time'}"
+            ) from exc
 
     async def listen(
         self,
@@ -94,7 +95,7 @@
         *,
         task_status: trio.TaskStatus[Address],
     ) -> None:
-        """Accept connections, one task for each, until cancelled."""
+        """Accept connections and serve each in a task until cancelled."""
         listeners = await trio.open_tcp_listeners(
             address.port, host=address.host
         )
@@ -120,10 +121,10 @@
         context.minimum_version = ssl.TLSVersion.TLSv1_3
         context.load_cert_chain(files.certificate, files.key)
         context.load_verify_locations(files.authority)
-    except OSError as why:
+    except OSError as exc:
         raise errors.UserError(
-            f"the TLS files cannot be used ({why}); check --tls-certificate, "
+            f"the TLS files cannot be used ({exc}); check --tls-certificate, "
             "--tls-key and --tls-authority"
-        ) from why
+        ) from exc
     context.verify_mode = ssl.CERT_REQUIRED
     return context
--- a/magnoliacove/wire/peer.py
+++ b/magnoliacove/wire/peer.py
@@ -1,4 +1,4 @@
-"""Keeping a connection to one peer open, and serving those who dial us."""
+"""Persistent connections to peers, and serving accepted connections."""
 
 from collections.abc import Callable
 import random
@@ -26,13 +26,14 @@
 
 
 class Peer:
-    """A peer that this process dials, again and again while it is wanted.
+    """A peer that this process connects to, and reconnects until stopped.
 
     :param name: the instance's name.
+    :param hello: returns the first message that this end sends.
     :param handle: called with each message.
     :param came_up: called when a connection is ready.
-    :param went_down: called with the reason when it is lost; never called
-        when a new connection replaced a silent one at once.
+    :param went_down: called with the reason when a connection was lost or
+        could not be opened.
     """
 
     def __init__(
@@ -60,7 +61,7 @@
         self._handle = handle
         self._came_up = came_up
         self._went_down = went_down
-        self._read_pace = get_heartbeat_interval
+        self._get_heartbeat_interval = get_heartbeat_interval
         self._ready = trio.Event()
         self._scope = trio.CancelScope()
 
@@ -84,7 +85,7 @@
         self.connection.post(message)
 
     def stop(self) -> None:
-        """Close the connection and dial no more."""
+        """Close the connection and stop reconnecting."""
         self._scope.cancel()
 
     async def run(self) -> None:
@@ -97,7 +98,7 @@
                     delay = defaults.RECONNECT_FIRST
                 self.failures += 1
                 self._went_down(self, reason)
-                # Jitter keeps hundreds of processes from dialling a
+                # Jitter keeps hundreds of processes from connecting to a
                 # restarted instance at the same moment.
                 await trio.sleep(delay * random.uniform(0.5, 1.0))
                 delay = min(delay * 2, defaults.RECONNECT_MOST)
@@ -109,11 +110,11 @@
                 stream,
                 self._recorder.clock,
                 self._hello,
-                get_heartbeat_interval=self._read_pace,
+                get_heartbeat_interval=self._get_heartbeat_interval,
             )
             await connection.run(self._handle, self._adopt)
-        except errors.Error as why:
-            reason = str(why)
+        except errors.Error as exc:
+            reason = str(exc)
         was_up = self.connection is not None
         self.connection = None
         self._ready = trio.Event()
@@ -137,29 +138,29 @@
     hello: Callable[[], messages.Hello],
     handle: Handler,
     make_pong: Callable[[int], messages.Pong],
-    gone: Callable[[Connection, str], None] = _do_nothing,
+    on_close: Callable[[Connection, str], None] = _do_nothing,
     ready: Callable[[Connection], None] = _do_nothing,
 ) -> None:
-    """Serve one connection that a peer dialled, until it ends.
+    """Serve one accepted connection until it ends.
 
-    :param ready: called when both ends have said hello.
-    :param gone: called with the reason when it has ended.
+    :param on_close: called with the reason when the connection has ended.
+    :param ready: called after both ends have sent their hello.
     """
     connection = Connection(
         stream,
         recorder.clock,
         hello,
-        # The dialling end sends heartbeats well before this.
+        # The connecting end sends heartbeats well before this interval.
         get_heartbeat_interval=lambda _: defaults.ACCEPTED_PACE,
         make_pong=make_pong,
     )
     try:
         await connection.run(handle, ready)
-    except errors.ProtocolError as why:
-        recorder.record("protocol-error", target=connection.name, why=str(why))
-        gone(connection, str(why))
-    except errors.PeerError as why:
-        gone(connection, str(why))
+    except errors.ProtocolError as exc:
+        recorder.record("protocol-error", target=connection.name, why=str(exc))
+        on_close(connection, str(exc))
+    except errors.PeerError as exc:
+        on_close(connection, str(exc))
 
 
 async def ask(
@@ -167,14 +168,15 @@
     address: Address,
     clock: Clock,
     hello: Callable[[], messages.Hello],
-    question: messages.Message,
+    request: messages.Message,
     kind: type[_T],
     timeout: float,
 ) -> _T | None:
-    """Ask one question on a connection of its own.
+    """Send one request on a new connection and wait for the answer.
 
     :param kind: the type of the answer.
-    :returns: the answer, or None when none came in time.
+    :param timeout: seconds for the whole exchange.
+    :returns: the answer, or None if none arrives in time.
     """
     answers: list[_T] = []
 
@@ -187,7 +189,7 @@
         try:
             stream = await network.connect(address)
             connection = Connection(stream, clock, hello)
-            await connection.run(take, lambda c: c.post(question))
+            await connection.run(take, lambda c: c.post(request))
         except errors.Error:
             pass
     return answers[0] if answers else None
--- a/magnoliacove/wire/schema.capnp
+++ b/magnoliacove/wire/schema.capnp
@@ -1,12 +1,12 @@
 # Messages between the processes of magnoliacove.
 #
-# A connection carries frames: four bytes of length, big end first, then
-# one Frame.  Both ends send `hello` first.  Stream and request names are
-# 16 bytes.  Times are milliseconds unless a name says otherwise.
+# A connection carries frames: a length of four bytes, big-endian, followed
+# by one Frame.  Each end sends `hello` first.  Stream and request IDs are
+# 16 bytes.  Times are in milliseconds unless a name states another unit.
 @0xd3c8a51e7f20b964;
 
 struct Frame {
-  clock @0 :UInt64;          # A hybrid logical clock reading.
+  clock @0 :UInt64;          # The sender's hybrid logical clock.
   union {
     hello @1 :Hello;
     ping @2 :Ping;
@@ -64,12 +64,12 @@
 
 struct Load {
   running @0 :UInt32;        # Streams or calls in progress.
-  queued @1 :UInt32;         # Steps or calls that wait.
-  stepMicros @2 :UInt32;     # Smoothed time of one engine step.
+  queued @1 :UInt32;         # Steps or calls that are waiting.
+  stepMicros @2 :UInt32;     # Smoothed duration of an engine step.
   draining @3 :Bool;
 }
 
-# A stage is one range of layers of one stream.
+# A stage runs one range of layers for one stream.
 struct OpenStage {
   stream @0 :Data;
   attempt @1 :UInt32;
@@ -80,16 +80,16 @@
   nextAddress @6 :Text;      # Empty on the last stage.
   nextName @7 :Text;
   priority @8 :Int32;
-  deadline @9 :UInt32;       # Remaining.
+  deadline @9 :UInt32;       # The remaining time.
   configurationVersion @10 :UInt64;
-  resume @11 :Bool;          # The stage is expected to be held already.
-  importAddress @12 :Text;   # Take the KV cache from this agent first.
+  resume @11 :Bool;          # The stage is expected to be open already.
+  importAddress @12 :Text;   # Import the KV cache from this agent first.
 }
 
 struct StageOpened {
   stream @0 :Data;
   attempt @1 :UInt32;
-  nextStep @2 :UInt32;       # The first step not yet applied.
+  nextStep @2 :UInt32;       # The first step that has not run yet.
   load @3 :Load;
 }
 
@@ -100,7 +100,7 @@
   code @3 :Text;
   reason @4 :Text;
   retryAfter @5 :UInt32;
-  status @6 :UInt16;         # The HTTP status for a call's caller.
+  status @6 :UInt16;         # The HTTP status for the caller.
 }
 
 struct Step {
@@ -133,7 +133,7 @@
 struct StageLost {
   stream @0 :Data;
   attempt @1 :UInt32;
-  name @2 :Text;             # The agent that was lost.
+  name @2 :Text;             # The lost agent.
   reason @3 :Text;
 }
 
@@ -166,7 +166,7 @@
   body @6 :Data;
   deadline @7 :UInt32;
   idempotent @8 :Bool;
-  key @9 :Text;              # Empty without an idempotency key.
+  key @9 :Text;              # Empty if there is no idempotency key.
   priority @10 :Int32;
   configurationVersion @11 :UInt64;
 }
@@ -177,13 +177,13 @@
   headers @2 :List(Header);
   body @3 :Data;
   more @4 :Bool;
-  replayed @5 :Bool;         # Recorded by an earlier try of the same key.
+  replayed @5 :Bool;         # Recorded by an earlier attempt with the key.
   load @6 :Load;
 }
 
 struct Subscribe {
   configurationVersion @0 :UInt64;
-  instances @1 :List(Data);  # What the subscriber knows, itself included.
+  instances @1 :List(Data);  # The subscriber's directory, with its own record.
 }
 
 struct EventsQuery {
@@ -195,7 +195,7 @@
 struct Order {
   order @0 :Data;
   holder @1 :Text;
-  fence @2 :UInt64;          # The fencing number of the holder's lease.
+  fence @2 :UInt64;          # The fencing token of the holder's lease.
   action @3 :Text;
   argument @4 :Text;
 }
@@ -206,7 +206,7 @@
   reason @2 :Text;
 }
 
-# Asks the former owner of an idempotency key whether it ever ran.
+# Asks the former owner of an idempotency key whether the key was used.
 struct Vouch {
   request @0 :Data;
   service @1 :Text;
@@ -220,25 +220,25 @@
   seen @1 :Bool;
 }
 
-# Takes an idempotency key at its owner before a model's request runs.
+# Claims an idempotency key at its owner before a request to a model runs.
 struct Claim {
   request @0 :Data;
   service @1 :Text;
   account @2 :Text;
   key @3 :Text;
-  digest @4 :Data;           # Of the request, to tell a key used twice.
+  digest @4 :Data;           # Digest of the request; detects reuse of a key.
   deadline @5 :UInt32;
   configurationVersion @6 :UInt64;
 }
 
 struct Claimed {
   request @0 :Data;
-  replayed @1 :Bool;         # The request ran; the record is its answer.
+  replayed @1 :Bool;         # The request ran; the record holds its answer.
   record @2 :Data;
 }
 
 struct ClaimDone {
   request @0 :Data;
-  ran @1 :Bool;              # False only when it surely did not run.
+  ran @1 :Bool;              # False only if it certainly did not run.
   record @2 :Data;
 }
--- a/tests/wire/test_connection.py
+++ b/tests/wire/test_connection.py
@@ -244,7 +244,7 @@
                 items.append(message)
         return items
 
-    gathered = wire.connection._gather(batch)
+    gathered = wire.connection._coalesce(batch)
     assert flatten(gathered) == flatten(batch)
     kinds = [type(m) for m in gathered]
     joinable = (messages.Steps, messages.Tokens)
