--- a/tests/entry/test_distribution.py
+++ b/tests/entry/test_distribution.py
@@ -1,4 +1,4 @@
-"""Accepted configuration reaches everybody, through outages and deaths."""
+"""Configuration reaches every process, despite outages and failures."""
 
 import trio
 
@@ -28,23 +28,23 @@
     )
 
 
-async def test_change_reaches_everybody(autojump_clock):
+async def test_change_reaches_every_process(autojump_clock):
     async with fakes.open_memory_fleet(entries=3) as fleet:
         await trio.sleep(3)
         version = await _change(fleet, 2.0)
         await trio.sleep(1)
         assert set(_list_versions(fleet).values()) == {version}
         watches = fleet.store.waiting_watches
-    # One entry watches: the state and the platform's list of instances.
+    # Only one entry watches: the state and the platform's instance list.
     assert watches == 2
 
 
-async def test_holder_dies(autojump_clock):
-    """The entry that hands news on dies as an operator makes a change.
+async def test_holder_is_killed(autojump_clock):
+    """The distributing entry is killed while an operator makes a change.
 
-    The other entries lose its feed and read the store themselves, so the
-    change is in force within seconds; the lease lapses and one of them
-    takes it.
+    The other entries lose its feed and must read the store themselves, so
+    that the change applies within seconds.  The lease expires and one of
+    them acquires it.
     """
     async with fakes.open_memory_fleet(entries=3) as fleet:
         await trio.sleep(3)
@@ -56,11 +56,11 @@
         assert _find_holder(fleet) != holder
 
 
-async def test_holder_is_cut_off_silently(autojump_clock):
-    """The holder freezes with its connections open, and wakes later.
+async def test_holder_is_isolated(autojump_clock):
+    """The lease holder is isolated with its connections open, and rejoins.
 
-    Its lease lapses and another entry takes the role.  Back again, it
-    finds its lease lapsed, follows the new holder, and nothing reverts.
+    Its lease expires and another entry acquires it.  After it rejoins, the
+    former holder must follow the new one and not revert any change.
     """
     async with fakes.open_memory_fleet(entries=3) as fleet:
         await trio.sleep(3)
@@ -76,8 +76,8 @@
         assert set(_list_versions(fleet).values()) == {version}
 
 
-async def test_outage_of_the_store(autojump_clock):
-    """Requests go on while the store is down, and nothing is forgotten."""
+async def test_store_outage(autojump_clock):
+    """Requests succeed and no configuration is lost during an outage."""
     async with fakes.open_memory_fleet(entries=2) as fleet:
         await trio.sleep(3)
         before = _list_versions(fleet)
@@ -95,10 +95,10 @@
 
 
 async def test_start_during_an_outage(autojump_clock):
-    """A process that starts while the store is down asks its peers.
+    """Processes that start during a store outage rely on their peers.
 
-    An agent is restarted; its seed hands it the configuration, and the
-    entries learn its new address from it, so it serves again.
+    A restarted agent must receive the configuration from its seed and
+    announce its new address to the entries, so that it serves again.
     """
     async with fakes.open_memory_fleet(entries=2, replicas=1) as fleet:
         await trio.sleep(3)
@@ -129,8 +129,8 @@
         assert set(_list_versions(fleet).values()) == {version}
 
 
-async def test_platform_says_that_an_instance_leaves(autojump_clock):
-    """The platform's list names a leaving instance before anybody else."""
+async def test_platform_lists_a_leaving_instance(autojump_clock):
+    """An instance listed as leaving by the platform gets no new work."""
     async with fakes.open_memory_fleet(entries=2) as fleet:
         await trio.sleep(3)
         await fleet.store.put(
--- a/tests/entry/test_keys.py
+++ b/tests/entry/test_keys.py
@@ -1,4 +1,4 @@
-"""Requests that may not be repeated run at most once, whatever happens."""
+"""Requests that are not idempotent run at most once under any failure."""
 
 import json
 import random
@@ -19,7 +19,7 @@
 
 
 def mint(at, rng=random):
-    """Return a UUID of version 7 minted at a time."""
+    """Return a UUID of version 7 for a given time."""
     milliseconds = int(at * 1000)
     value = milliseconds << 80 | rng.getrandbits(80)
     value = value & ~(0xF << 76) | 0x7 << 76
@@ -45,7 +45,7 @@
     assert answer.json["error"]["outcome"] == "may_have_run"
 
 
-async def test_second_try_gets_the_first_answer(autojump_clock):
+async def test_repeated_key_returns_the_first_answer(autojump_clock):
     async with fakes.open_memory_fleet(entries=2) as fleet:
         key = mint(fleet.read_time())
         first = await _bid(fleet, key)
@@ -56,8 +56,8 @@
     assert second.headers["idempotency-replayed"] == "true"
 
 
-async def test_tries_at_the_same_time(autojump_clock):
-    """Two tries cross: the second waits for the first one's answer."""
+async def test_concurrent_attempts_run_once(autojump_clock):
+    """A concurrent attempt waits for the answer to the first one."""
     async with fakes.open_memory_fleet(entries=2) as fleet:
         for service in fleet.plains.values():
             service.faults.delay = 1.0
@@ -74,11 +74,11 @@
     assert answers[0].body == answers[1].body
 
 
-async def test_entry_dies_after_dispatch(autojump_clock):
-    """The caller's connection breaks; the next try finds the answer.
+async def test_entry_is_killed_after_dispatch(autojump_clock):
+    """The caller's connection breaks; the next attempt finds the answer.
 
-    The entry dies while the bid runs.  The agent lets it run on and
-    records the answer, which the same key finds through another entry.
+    The entry is killed while the bid runs.  The agent must complete the bid
+    and record its answer, which the same key finds through another entry.
     """
     async with fakes.open_memory_fleet(entries=2) as fleet:
         for service in fleet.plains.values():
@@ -93,7 +93,7 @@
 
 
 async def test_target_gives_no_answer(autojump_clock):
-    """The bid ran and its answer was lost: no try may run it again."""
+    """The bid ran but its answer was lost: no attempt may run it again."""
     async with fakes.open_memory_fleet() as fleet:
         key = mint(fleet.read_time())
         owner = fleet.plains[_find_owner(fleet, key)]
@@ -107,10 +107,10 @@
 
 
 async def test_owner_restarts_between_tries(autojump_clock):
-    """The agent that knew the key is replaced by an empty one.
+    """The agent that owns the key restarts without its records.
 
-    It cannot know what its predecessor ran, so a key minted before its
-    start is answered "may have run"; one minted after its start runs.
+    It has no record of what its predecessor ran, so it must answer "may
+    have run" for a key minted before its start.  A later key runs.
     """
     async with fakes.open_memory_fleet() as fleet:
         key = mint(fleet.read_time())
@@ -126,8 +126,8 @@
         assert _count_runs(fleet) == 2
 
 
-async def test_owner_is_away(autojump_clock):
-    """The owner cannot be reached: the try truly did not run."""
+async def test_owner_is_unreachable(autojump_clock):
+    """The owner is unreachable, and the attempt is reported as not run."""
     async with fakes.open_memory_fleet() as fleet:
         key = mint(fleet.read_time())
         fleet.kill(fleet.agents[_find_owner(fleet, key)])
@@ -140,8 +140,8 @@
     assert unkeyed.status == 200
 
 
-async def test_owner_freezes_after_dispatch(autojump_clock):
-    """Silence is no proof: the caller is told that the bid may have run."""
+async def test_owner_is_isolated_after_dispatch(autojump_clock):
+    """Without an answer from the owner, the bid may have run."""
     async with fakes.open_memory_fleet() as fleet:
         for service in fleet.plains.values():
             service.faults.delay = 1.0
@@ -167,10 +167,10 @@
 
 
 async def test_ownership_moves(autojump_clock):
-    """An operator's drain gives a key another owner, who asks the former.
+    """A drain moves a key to another owner, which asks the former one.
 
-    The former owner saw the first key, so it is not run again; it never
-    saw the second, so that one runs, once.
+    The former owner has a record of the first key, so that one must not run
+    again.  It has none of the second key, which runs exactly once.
     """
     async with fakes.open_memory_fleet(replicas=3) as fleet:
         used = mint(fleet.read_time())
@@ -197,8 +197,8 @@
     assert answer.json["error"]["outcome"] == "not_run"
 
 
-async def test_key_a_little_from_the_future(autojump_clock):
-    """A caller's clock is a second ahead: the bid waits for it and runs."""
+async def test_key_slightly_from_the_future(autojump_clock):
+    """The caller's clock is 1 s ahead: the bid waits that long and runs."""
     async with fakes.open_memory_fleet() as fleet:
         began = trio.current_time()
         answer = await _bid(fleet, mint(fleet.read_time() + 1))
@@ -238,11 +238,11 @@
     await trio.sleep(1)
 
 
-async def test_draft_of_a_model_arrives_once(autojump_clock):
-    """A translation draft with a key is generated once.
+async def test_model_request_with_key_runs_once(autojump_clock):
+    """The caller disconnects while the text for its key is generated.
 
-    The caller hangs up while it is generated; the run goes on, and the
-    same key finds the whole text through another entry.
+    The run must continue, so that the same key finds the whole text through
+    another entry and no step runs twice.
     """
     async with fakes.open_memory_fleet(entries=2) as fleet:
         await _forbid_repeats(fleet)
@@ -255,8 +255,8 @@
     assert steps == 2 * 9
 
 
-async def test_entry_dies_with_a_draft(autojump_clock):
-    """The owner of the key cannot know how far the dead entry came."""
+async def test_entry_is_killed_during_a_model_request(autojump_clock):
+    """The key's owner cannot determine how far the killed entry got."""
     async with fakes.open_memory_fleet(entries=2) as fleet:
         await _forbid_repeats(fleet)
         key = mint(fleet.read_time())
@@ -296,11 +296,12 @@
 
 
 @given(_ACTIONS, st.sampled_from([-4.0, 0.0, 4.0]), st.randoms())
-def test_any_order_of_tries_and_faults(actions, offset, rng):
-    """No key runs twice, and "not run" is true, in any order of events.
+def test_any_order_of_attempts_and_faults(actions, offset, rng):
+    """No key runs twice, and "not run" is correct, in any order of events.
 
-    One key is tried through two entries while its owner restarts empty,
-    drains move the ownership, answers are lost and one clock is off.
+    One key is sent through two entries while its owner restarts without
+    records, drains move the ownership, answers are lost and one clock is
+    off.
     """
 
     async def main():
@@ -337,9 +338,9 @@
     for _ in range(100):
         key = mint(rng.random() * 1e9, rng)
         owner = choose_owner(key, targets)
-        rest = [t for t in targets if t != owner]
+        others = [t for t in targets if t != owner]
         assert owner in targets
-        for other in rest:
-            # Another target's leaving does not move the key.
-            kept = [t for t in targets if t != other]
-            assert choose_owner(key, kept) == owner
+        for other in others:
+            # Removing another target does not move the key.
+            remaining = [t for t in targets if t != other]
+            assert choose_owner(key, remaining) == owner
--- a/tests/entry/test_path.py
+++ b/tests/entry/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path, through real entries and agents with stand-ins."""
+"""End-to-end requests through real entries and agents, with test engines."""
 
 import json
 
@@ -36,12 +36,12 @@
     return text, survivors
 
 
-async def test_first_middle_and_last_stage_die():
-    """The caller sees one gapless answer though a stage dies midway.
+async def test_killed_stage_leaves_no_gap():
+    """The caller receives a complete answer when a stage is killed.
 
-    The agent of one stage is killed after seven tokens.  The entry opens a
-    replacement under attempt 2, which is given the lost steps again; the
-    stages that lived resume and run no step twice.
+    The agent of the first, middle or last stage is killed after seven
+    tokens.  The entry opens a replacement in attempt 2 and sends it the
+    lost steps again; the surviving stages must run no step twice.
     """
     for first_layer in (0, 3, 5):
         text, survivors = await _stream_with_kill(first_layer)
@@ -50,7 +50,7 @@
             assert steps == sorted(set(steps))
 
 
-async def test_stock_openai_client():
+async def test_standard_openai_client():
     async with fleets.open_fleet() as fleet:
         url = fleet.entries["entry-0"].made.callers_url + "/v1"
 
@@ -94,7 +94,7 @@
     assert (code, denied) == ("model_not_found", "invalid_api_key")
 
 
-async def test_plain_service_passes_through():
+async def test_plain_service_request_is_forwarded():
     async with fleets.open_fleet() as fleet:
         caller = fleets.Caller(fleet.entries["entry-0"].made.callers_url)
         answer = await caller.request("GET", "/services/bid-desk/lots/7?a=b")
--- a/tests/entry/test_pipelines.py
+++ b/tests/entry/test_pipelines.py
@@ -1,4 +1,4 @@
-"""Pipelines run services in turn, for accounts that may use them."""
+"""Pipelines run services in order, for accounts that may use them all."""
 
 import trio
 
@@ -31,10 +31,10 @@
 
 
 async def test_pipeline_gives_no_access_to_a_service(autojump_clock):
-    """An account may use one of the two services only.
+    """An account may use only one of the pipeline's two services.
 
-    The pipeline's second step would run with the operator's rights, since
-    only direct requests were checked.  Nothing runs, not even the first.
+    If only direct requests were checked, the second step would run with the
+    operator's rights.  No step may run, not even the first.
     """
     async with fakes.open_memory_fleet() as fleet:
         await _make_pipeline(fleet, fleets.MODEL)
--- a/tests/entry/test_streams.py
+++ b/tests/entry/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams under failure: exactly once, in order, to the end."""
+"""Streams under failure: each token exactly once, in order, complete."""
 
 import functools
 
@@ -16,7 +16,7 @@
 
 
 async def _run_with(fault, *, at=7, tokens=_TOKENS, replicas=2):
-    """Stream an answer, bring about a fault at a token, return all."""
+    """Stream an answer with a fault at a token; return text, runs, events."""
     async with fakes.open_memory_fleet(cuts=_CUTS, replicas=replicas) as fleet:
 
         async def on_token(count):
@@ -92,28 +92,28 @@
 @pytest.mark.parametrize("first_layer", _CUTS[:-1])
 @pytest.mark.parametrize("fault", _FAULTS)
 async def test_one_fault(fault, first_layer, autojump_clock):
-    """The caller sees one gapless answer whatever fails midway.
+    """The caller receives a complete answer despite any single fault.
 
-    A fault comes after seven tokens.  The entry learns of it by a broken
-    or silent connection, by the agent's word or by a stall, opens a new
-    attempt, and stages that lived go on without running a step twice.
+    A fault occurs after seven tokens.  The entry detects it by a broken or
+    unresponsive connection, a report of the agent or a stall, and opens a
+    new attempt.  Surviving stages must run no step twice.
     """
     text, runs, events = await _run_with(functools.partial(fault, first_layer))
     _check_answer(text, runs)
     kinds = {event.kind for event in events}
-    # Tokens do not cross the connection of a middle stage to the entry,
-    # so its silence is over before it is noticed.
-    unnoticed = fault is _silence_from_entry and first_layer == 3
-    assert unnoticed or "stream-resumed" in kinds
+    # No tokens cross the connection of a middle stage to the entry, so the
+    # stream completes before the entry detects that it is unresponsive.
+    undetected = fault is _silence_from_entry and first_layer == 3
+    assert undetected or "stream-resumed" in kinds
 
 
 @pytest.mark.parametrize("second", [0, 3, 5])
 @pytest.mark.parametrize("first", [0, 3, 5])
-async def test_two_agents_die_together(first, second, autojump_clock):
-    """Two stages die at once, or the same one twice.
+async def test_two_agents_killed_together(first, second, autojump_clock):
+    """Two stages are killed at once, or one stage.
 
-    The second death comes while the entry may still be opening the
-    attempt that answers the first; the two losses are merged.
+    The second failure occurs while the entry may still be opening the
+    attempt for the first one, so it must merge the two interruptions.
     """
 
     async def fault(fleet):
@@ -125,10 +125,10 @@
     _check_answer(text, runs)
 
 
-async def test_agent_dies_while_stream_resumes(autojump_clock):
-    """The replacement dies too, while it is being given the lost steps.
+async def test_replacement_is_killed_during_recovery(autojump_clock):
+    """The replacement is killed while it receives the lost steps.
 
-    With three targets for each range the stream goes on with the third.
+    With three targets for each range, the stream continues on the third.
     """
     async with fakes.open_memory_fleet(cuts=_CUTS, replicas=3) as fleet:
 
@@ -150,12 +150,11 @@
     _check_answer(text, runs)
 
 
-async def test_only_target_comes_back(autojump_clock):
-    """No other target holds the layers, so the stream waits for one.
+async def test_only_target_restarts(autojump_clock):
+    """The only target of a range is killed, and restarts after 3 s, empty.
 
-    The only target of a range dies.  After three seconds the platform has
-    started it again, empty; it is given all steps again and the caller
-    sees a pause but no gap.  The stages that lived run no step again.
+    The stream must wait for it and send it all steps again, so that the
+    caller sees a pause but no gap.  Surviving stages run no step twice.
     """
     async with fakes.open_memory_fleet(cuts=_CUTS, replicas=1) as fleet:
 
@@ -174,18 +173,18 @@
             text = await fakes.stream(fleet, "lot", _TOKENS, on_token)
         waited = fleet.list_events("stream-waiting")
         runs = _list_runs(fleet)
-        told = fleet.list_events("stage-lost")
+        reported = fleet.list_events("stage-lost")
     _check_answer(text, {n: r for n, r in runs.items() if n != "llm-3-0"})
     assert waited
-    assert len(told) <= 3
+    assert len(reported) <= 3
 
 
 async def test_drain_moves_a_long_stream(autojump_clock):
-    """A planned stop cuts off nothing, however long the stream is.
+    """A drain does not interrupt a stream, however long the stream is.
 
-    The agent says that it leaves; two seconds later the entry moves the
-    stream to another target, which imports the KV cache, so no step runs
-    again anywhere; then the agent's drain ends.
+    The agent announces the drain; two seconds later the entry moves the
+    stream to another target, which imports the KV cache, so that no step
+    runs again.  Then the agent's drain completes.
     """
     tokens = 2000
     async with fakes.open_memory_fleet(cuts=_CUTS, replicas=2) as fleet:
@@ -208,12 +207,12 @@
     assert drained[0].detail["left"] == 0
 
 
-async def test_drain_taken_back(autojump_clock):
-    """A target whose drain was undone takes work again.
+async def test_cancelled_drain(autojump_clock):
+    """A target whose drain is cancelled receives work again.
 
-    The entry had marked it as leaving on the agent's word and kept the
-    mark until its connection broke, so streams waited for a target that
-    stood idle until their deadline.
+    The entry marks a target as draining when the agent reports it.  If the
+    mark stayed until the connection broke, streams would wait until their
+    deadline for a target that is idle.
     """
     async with fakes.open_memory_fleet() as fleet:
         pool = fleet.entries["entry-0"].made.pool
@@ -231,7 +230,7 @@
         assert pool.is_usable("llm-0-0")
 
 
-async def test_caller_who_hangs_up_frees_stages(autojump_clock):
+async def test_disconnected_caller_frees_stages(autojump_clock):
     async with fakes.open_memory_fleet() as fleet:
 
         async def on_token(count):
@@ -241,16 +240,16 @@
         with pytest.raises(BaseExceptionGroup):
             await fakes.stream(fleet, "lot", _TOKENS, on_token)
         await trio.sleep(2)
-        held = [
+        open_stages = [
             running.made.stages.stages
             for running in fleet.agents.values()
             if running.made.stages
         ]
-        assert not any(held)
+        assert not any(open_stages)
         assert not fleet.entries["entry-0"].made.pool.receivers
 
 
-async def test_no_target_is_said_at_once(autojump_clock):
+async def test_missing_target_is_reported_at_once(autojump_clock):
     async with fakes.open_memory_fleet(replicas=1) as fleet:
         fleet.kill(fleet.agents["llm-4-0"])
         await trio.sleep(1)
@@ -281,11 +280,10 @@
 
 @given(_FAULT_TIMES)
 def test_any_faults(faults):
-    """Whatever fails whenever, the answer is whole or the error says so.
+    """The answer is complete and correct under any sequence of faults.
 
-    Up to three faults come at drawn tokens in drawn stages.  A whole
-    answer equals the undisturbed one; a stream that ran out of targets
-    ends at its deadline with a typed error, never with a wrong token.
+    Up to three faults occur at random tokens in random stages.  Recovery
+    must not lose, repeat or change a token.
     """
 
     async def main():
--- a/tests/wire/test_connection.py
+++ b/tests/wire/test_connection.py
@@ -1,4 +1,4 @@
-"""Connections between our processes, with peers that misbehave."""
+"""Connections between processes, with peers that misbehave."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -66,7 +66,7 @@
 
 
 class _Broken(trio.abc.Stream):
-    """Says hello, then fails on both sides at the same moment."""
+    """Sends a hello, then fails reading and writing at the same moment."""
 
     def __init__(self):
         self._data = _GOOD
@@ -98,18 +98,18 @@
 
 
 async def test_both_sides_fail_at_once(autojump_clock):
-    """Reading and writing fail in the same turn of the event loop.
+    """Reading and writing fail in the same iteration of the event loop.
 
-    The two errors came out as a group, which ended the whole process
-    instead of one connection.
+    The two errors must not be raised as a group, which would end the whole
+    process instead of one connection.
     """
     connection = _connect(_Broken())
     with pytest.raises(errors.PeerError):
         await connection.run(_ignore, lambda c: c.post(messages.Ping(1)))
 
 
-async def test_silent_peer_is_noticed(autojump_clock):
-    """The peer says hello and then nothing; nothing fails by itself."""
+async def test_unresponsive_peer_is_detected(autojump_clock):
+    """The peer sends nothing after its hello, without any I/O error."""
     near, far = trio.testing.memory_stream_pair()
     await far.send_all(_GOOD)
     began = trio.current_time()
@@ -118,11 +118,11 @@
     assert trio.current_time() - began <= defaults.SILENCE_TIMEOUT + 1
 
 
-async def test_peer_that_takes_nothing_is_closed(autojump_clock):
-    """Messages queue for a peer that reads nothing.
+async def test_peer_that_does_not_read_is_closed(autojump_clock):
+    """Messages queue for a peer that does not read.
 
-    Without a bound they would use up the memory and end every other
-    stream of the process; only this peer's connection is closed.
+    An unbounded queue would exhaust the memory and end every other stream
+    of the process.  Only this peer's connection must be closed.
     """
     connection = _connect(trio.testing.memory_stream_pair()[0])
     with pytest.raises(errors.PeerError, match="too slowly"):
@@ -142,11 +142,11 @@
     assert sent == defaults.MAX_QUEUED_FRAMES // 2
 
 
-async def test_dead_connection_is_told_from_dead_peer(autojump_clock):
-    """An open connection loses everything while new ones work.
+async def test_broken_connection_is_replaced(autojump_clock):
+    """An open connection loses all data while new connections work.
 
-    The dialling end notices the silence, opens a new connection at once
-    and tells its owner that the peer is up again.
+    The connecting end must detect that the connection is unresponsive, open
+    a new one at once and notify its owner that the peer is up again.
     """
     links = network.Links()
     near = network.MemoryNetwork("near", links)
@@ -232,21 +232,21 @@
 
 
 @given(st.lists(_MESSAGES, max_size=12))
-def test_gathering_keeps_order(batch):
-    """Steps and tokens are joined only with their neighbours."""
+def test_coalescing_keeps_order(batch):
+    """Only adjacent lists of steps, or of tokens, are merged."""
 
-    def flatten(found):
+    def flatten(batch):
         items = []
-        for message in found:
+        for message in batch:
             if isinstance(message, messages.Steps | messages.Tokens):
                 items.extend(message.items)
             else:
                 items.append(message)
         return items
 
-    gathered = wire.connection._coalesce(batch)
-    assert flatten(gathered) == flatten(batch)
-    kinds = [type(m) for m in gathered]
+    merged = wire.connection._coalesce(batch)
+    assert flatten(merged) == flatten(batch)
+    kinds = [type(m) for m in merged]
     joinable = (messages.Steps, messages.Tokens)
     pairs = zip(kinds, kinds[1:], strict=False)
     assert all(a != b or a not in joinable for a, b in pairs)
