--- a/magnoliacove/entry/replanning.py
+++ b/magnoliacove/entry/replanning.py
@@ -31,7 +31,7 @@
     :param names: the targets to replace; empty when the same chain only
         needs a new attempt.
     :param movable: the targets among them that still have their KV cache.
-    :param whole: whether no stage of the chain is usable any longer.
+    :param replace_all: whether no stage of the chain is usable any longer.
     :param reconnect: whether the targets may be reachable on a new
         connection.
     """
@@ -42,13 +42,13 @@
         names: frozenset[str] = frozenset(),
         movable: frozenset[str] = frozenset(),
         *,
-        whole: bool = False,
+        replace_all: bool = False,
         reconnect: bool = False,
     ) -> None:
         super().__init__(reason)
         self.names = names
         self.movable = movable
-        self.whole = whole
+        self.replace_all = replace_all
         self.reconnect = reconnect
 
 
@@ -120,15 +120,15 @@
             str(interruption),
             unreachable,
             interruption.movable,
-            whole=interruption.whole,
+            replace_all=interruption.replace_all,
         )
 
     def replace(
         self, present: StreamChain, interruption: ChainInterrupted
     ) -> StreamChain | None:
         """Return the chain after an interruption, or None if none exists."""
-        if interruption.whole:
-            return self._choose_whole()
+        if interruption.replace_all:
+            return self._choose_new_chain()
         names = interruption.names & set(present.names)
         if not names:
             return StreamChain(present.stages, present.opened)
@@ -149,7 +149,7 @@
                 kept_names - names,
             )
             if replacement is None:
-                return self._choose_whole()
+                return self._choose_new_chain()
             imports.update(
                 _match_imports(gap, replacement, interruption.movable)
             )
@@ -160,7 +160,7 @@
             {n: self._address_of(src) for n, src in imports.items()},
         )
 
-    def _choose_whole(self) -> StreamChain | None:
+    def _choose_new_chain(self) -> StreamChain | None:
         chain = self.choose(0, self._layers, frozenset())
         return StreamChain(chain) if chain else None
 
--- a/magnoliacove/entry/service_runner.py
+++ b/magnoliacove/entry/service_runner.py
@@ -28,6 +28,8 @@
 class ServiceRunner:
     """Runs requests on models and on plain services.
 
+    ``budget`` bounds the retries of all requests together.
+
     :param chooser: chooses the chains of streams.
     """
 
--- a/magnoliacove/entry/streams.py
+++ b/magnoliacove/entry/streams.py
@@ -125,7 +125,7 @@
 
     async def _run_to_end(self, emit: Emit) -> None:
         interruption: ChainInterrupted | None = ChainInterrupted(
-            "a new request", whole=True
+            "a new request", replace_all=True
         )
         backoff = Backoff(0.02, 1.0)
         while not self._ended:
@@ -152,7 +152,7 @@
             previous.names | latest.names,
             (previous.movable | latest.movable)
             - (latest.names - latest.movable),
-            whole=previous.whole or latest.whole,
+            replace_all=previous.replace_all or latest.replace_all,
             reconnect=latest.reconnect,
         )
 
@@ -402,7 +402,7 @@
         if message.attempt != self.attempt or source not in names:
             return
         if not message.name:
-            raise ChainInterrupted(message.reason, whole=True)
+            raise ChainInterrupted(message.reason, replace_all=True)
         if message.name == source:
             raise ChainInterrupted(message.reason, frozenset([source]))
         # The link between two agents broke.  Both agents may still work,
--- a/tests/entry/test_path.py
+++ b/tests/entry/test_path.py
@@ -76,13 +76,13 @@
                     streamed += part.choices[0].delta.content or ""
             try:
                 client.chat.completions.create(model="no", messages=messages)
-            except openai.NotFoundError as why:
-                code = why.code
+            except openai.NotFoundError as exc:
+                code = exc.code
             bad = openai.OpenAI(base_url=url, api_key="no", max_retries=0)
             try:
                 bad.models.list()
-            except openai.AuthenticationError as why:
-                return whole, streamed, usage, code, why.code
+            except openai.AuthenticationError as exc:
+                return whole, streamed, usage, code, exc.code
 
         whole, streamed, usage, code, denied = await trio.to_thread.run_sync(
             call
--- a/tests/entry/test_streams.py
+++ b/tests/entry/test_streams.py
@@ -68,13 +68,13 @@
 
 
 async def _cut_between(first_layer, fleet):
-    one = fakes.find_used(fleet, 0)
-    await fleet.links.cut(one, fakes.find_used(fleet, 3))
+    first_agent = fakes.find_used(fleet, 0)
+    await fleet.links.cut(first_agent, fakes.find_used(fleet, 3))
 
 
 async def _silence_between(first_layer, fleet):
-    one = fakes.find_used(fleet, 0)
-    fleet.links.silence(one, fakes.find_used(fleet, 3))
+    first_agent = fakes.find_used(fleet, 0)
+    fleet.links.silence(first_agent, fakes.find_used(fleet, 3))
 
 
 _FAULTS = [
--- a/tests/wire/test_connection.py
+++ b/tests/wire/test_connection.py
@@ -227,8 +227,8 @@
 def test_any_bytes_are_a_frame_or_a_typed_error(data):
     try:
         codec.decode(data)
-    except errors.ProtocolError as why:
-        assert "same release" in str(why)
+    except errors.ProtocolError as exc:
+        assert "same release" in str(exc)
 
 
 @given(st.lists(_MESSAGES, max_size=12))
