--- a/magnoliacove/gateway/calls.py
+++ b/magnoliacove/gateway/calls.py
@@ -222,7 +222,7 @@
         except TargetError as why:
             result = _Result(target, error=why)
             if why.outcome is not errors.Outcome.NOT_RUN:
-                self._crashes.note_broken(
+                self._crashes.check_broken_run(
                     target, self._routed, trio.current_time() - began
                 )
         finally:
--- a/magnoliacove/gateway/crashes.py
+++ b/magnoliacove/gateway/crashes.py
@@ -115,7 +115,7 @@
 
     # What runs of requests tell.
 
-    def note_broken(
+    def check_broken_run(
         self, target: ListedTarget, routed: RoutedRequest, seconds: float
     ) -> None:
         """Find out whether a target ended under a run that broke off there.
@@ -141,7 +141,7 @@
             return
         self._note_answer(question.ended, run)
 
-    async def wait_answer(self, target: str, fingerprint: str) -> None:
+    async def wait_until_checked(self, target: str, fingerprint: str) -> None:
         """Wait for a moment until it is known whether a target ended.
 
         Only for a request that was at an end before: without it each attempt
@@ -163,7 +163,7 @@
             self._save(ended)
             self._tell()
 
-    def note_lost(
+    def check_failed_engines(
         self, names: Iterable[str], routed: RoutedRequest, seconds: float
     ) -> None:
         """Find out whether engines of a stream's path ended under it.
@@ -178,11 +178,11 @@
             asked = self._questions.get(name)
             lives = asked is not None and asked.ended is False
             if target is not None and not lives:
-                self.note_broken(target, routed, seconds)
+                self.check_broken_run(target, routed, seconds)
 
     # What peers tell.
 
-    def take_crash(self, run: CrashedRun, age: float) -> None:
+    def record_reported_crash(self, run: CrashedRun, age: float) -> None:
         """Take a target's end that a peer saw."""
         crashes = self._state.crashes
         if not crashes.note_crash(run, age=age, own=False):
--- a/magnoliacove/gateway/gauges.py
+++ b/magnoliacove/gateway/gauges.py
@@ -12,7 +12,8 @@
     table = state.routes
     return {
         "configuration_version": table.version if table else 0,
-        "configuration_age_seconds": trio.current_time() - state.routes_at,
+        "configuration_age_seconds": trio.current_time()
+        - state.routes_applied_at,
         "targets_listed": len(state.targets.list_all()),
         "targets_suspected": len(state.health.list_suspicions()),
         "targets_limited": len(state.backpressure.list_limits()),
--- a/magnoliacove/gateway/holds.py
+++ b/magnoliacove/gateway/holds.py
@@ -68,7 +68,7 @@
             self.path, self.first_target = path, first
             self._reservation = state.loads.reserve_path(path, costs.tokens)
             state.permits.note_sent(path.targets)
-            state.find_gaps(self._routed.service.name).note(True)
+            state.get_gap_clock(self._routed.service.name).note(True)
             return path
         self._note_waiting(costs.tokens)
         return None
@@ -97,7 +97,7 @@
         )
         if wait > 0.0:
             return wait
-        gaps = self._state.find_gaps(service)
+        gaps = self._state.get_gap_clock(service)
         gaps.note(self._state.candidates.is_whole(service, self.shape))
         return gaps.read_left()
 
--- a/magnoliacove/gateway/limit_sharing.py
+++ b/magnoliacove/gateway/limit_sharing.py
@@ -15,7 +15,7 @@
 from magnoliacove.limits.unheard import UnheardRequests
 from magnoliacove.routing.owners import choose_owner
 
-__all__ = ["HeardPeer", "LimitSharing", "PeerNews"]
+__all__ = ["LivePeer", "LimitSharing", "PeerLimits"]
 
 # A gateway keeps limits once it has counted its requests for so long, in
 # seconds.  By then it has heard all others, and they have heard it.
@@ -25,7 +25,7 @@
 _LOOK_EVERY = 0.1
 
 
-class PeerNews(Protocol):
+class PeerLimits(Protocol):
     """What another gateway's heartbeat tells of limits."""
 
     @property
@@ -49,11 +49,11 @@
         """The parts that it hands out."""
 
 
-class HeardPeer(Protocol):
+class LivePeer(Protocol):
     """Another gateway, as last heard."""
 
     @property
-    def heartbeat(self) -> PeerNews:
+    def heartbeat(self) -> PeerLimits:
         """What it told then."""
 
     @property
@@ -74,7 +74,7 @@
         book: BackpressureBook,
         grants: GrantBook,
         unheard: UnheardRequests,
-        list_live: Callable[[], Iterable[HeardPeer]],
+        list_live: Callable[[], Iterable[LivePeer]],
         is_leaving: Callable[[], bool],
         read_time: Callable[[], float] = trio.current_time,
     ) -> None:
@@ -92,7 +92,7 @@
         self._chosen_for: tuple[frozenset[str], tuple[str, ...]] | None = None
         self._look_at = 0.0
 
-    def hand_out(self) -> tuple[Grant, ...]:
+    def issue_grants(self) -> tuple[Grant, ...]:
         """Return the parts of the limits that this gateway keeps."""
         limits = self._book.list_limits()
         self._renew()
@@ -122,7 +122,7 @@
         self._grants.renew(self._keepers)
         return self._made
 
-    def take(self, news: PeerNews) -> None:
+    def take(self, news: PeerLimits) -> None:
         """Take what another gateway tells."""
         self._book.take_told(news.name, news.limits)
         self._grants.take(news.name, news.grants)
--- a/magnoliacove/gateway/notices.py
+++ b/magnoliacove/gateway/notices.py
@@ -6,13 +6,13 @@
 from magnoliacove.limits.backpressure import BackpressureBook
 from magnoliacove.platform.notices import read_notice
 
-__all__ = ["make_listener"]
+__all__ = ["make_notice_handler"]
 
 # Another target may have the address by now, and says nothing of this one.
 _NOT_THE_TARGET = 421
 
 
-def make_listener(book: BackpressureBook, health: Health) -> Hear:
+def make_notice_handler(book: BackpressureBook, health: Health) -> Hear:
     """Return what is told of each answer: to requests, reports, orders.
 
     :param health: what the other gateways hear too.
--- a/magnoliacove/gateway/peering.py
+++ b/magnoliacove/gateway/peering.py
@@ -76,7 +76,7 @@
             state.targets,
             state.backpressure,
             state.grants,
-            state.unheard,
+            state.unreported,
             self.heartbeats.list_live,
             lambda: state.leaving,
         )
@@ -103,7 +103,7 @@
         state = self._state
         now = trio.current_time()
         table = state.routes
-        grants = self._sharing.hand_out()
+        grants = self._sharing.issue_grants()
         if grants:
             # Engines with a limit take further requests, as time goes by.
             state.room.fill()
@@ -129,8 +129,8 @@
                 for target, age, holding in self._list_holdings()
             ),
             services=state.budget.list_counts(),
-            recent=state.unheard.list_counts(),
-            counted_for=state.unheard.counted_for,
+            recent=state.unreported.list_counts(),
+            counted_for=state.unreported.counted_for,
             peers=peers,
             acting=self._is_acting(),
             newest_change=state.targets.newest_change,
@@ -172,12 +172,12 @@
 
     def _take_heartbeat(self, heartbeat: Heartbeat) -> None:
         state = self._state
-        self._store.take_era(heartbeat.store_era, heartbeat.name)
+        self._store.update_era(heartbeat.store_era, heartbeat.name)
         state.loads.take_others(
             heartbeat.name, heartbeat.loads, heartbeat.crossings
         )
         state.budget.take_others(heartbeat.name, heartbeat.services)
-        state.unheard.take_others(
+        state.unreported.take_others(
             heartbeat.name, heartbeat.recent, heartbeat.counted_for
         )
         for found in heartbeat.suspicions:
@@ -202,7 +202,7 @@
         if heartbeat.acting and heartbeat.store_reachable:
             self._store.compare_list(heartbeat.newest_change)
         elif heartbeat.acting:
-            self._store.note_outage()
+            self._store.record_outage()
 
     def _take_crashes(self, heartbeat: Heartbeat) -> None:
         """Take what a peer tells of requests that end targets."""
@@ -212,7 +212,7 @@
             if found.silent:
                 state.crashes.silent.note(found.run, own=False)
             else:
-                self._crashes.take_crash(found.run, found.age)
+                self._crashes.record_reported_crash(found.run, found.age)
         for told in heartbeat.quarantines:
             quarantine = Quarantine(
                 told.fingerprint,
@@ -237,15 +237,15 @@
         self._state.crashes.forget_peers(names)
         self._state.loads.forget(names)
         self._state.budget.forget(names)
-        self._state.unheard.forget(names)
+        self._state.unreported.forget(names)
         self._sharing.lose(names)
 
-    def tell_news(self) -> None:
+    def announce_update(self) -> None:
         """Tell the others at once, and try who waits for room."""
         self.heartbeats.send_soon()
         self._state.room.fill()
 
-    def is_first(self) -> bool:
+    def is_fallback_leader(self) -> bool:
         """Return whether this gateway is to act while the store is away."""
         peers = self._list_live()
         if not peers:
@@ -259,21 +259,21 @@
             return False
         return all(self._state.name < other.name for other in staying)
 
-    def is_done_elsewhere(self) -> bool:
+    def has_acting_peer(self) -> bool:
         """Return whether a live peer does the placement duty."""
         return any(one.acting and not one.leaving for one in self._list_live())
 
-    def is_replaced(self) -> bool:
+    def has_acting_peer_with_store(self) -> bool:
         """Return whether a peer that reaches the store does the duty."""
         return any(
             one.acting and one.store_reachable for one in self._list_live()
         )
 
-    def read_store_silence(self) -> float:
+    def measure_store_outage(self) -> float:
         """Return seconds since the store was lost, 0 while it answers."""
         if self._store.reachable:
             return 0.0
-        return trio.current_time() - self._store.lost_at
+        return trio.current_time() - self._store.unreachable_since
 
     def _list_live(self) -> list[Heartbeat]:
         """Return the last heartbeats of the peers that were heard lately."""
@@ -300,7 +300,7 @@
                 key=lambda one: one.configuration_version,
                 default=None,
             )
-            away = self.read_store_silence() > STORE_AWAY
+            away = self.measure_store_outage() > STORE_AWAY
             better = [one for one in peers if one.store_reachable]
             now = trio.current_time()
             if newest and newest.configuration_version > own:
@@ -328,7 +328,7 @@
     def _take_snapshot(self, found: "PeerSnapshot", peer: str) -> None:
         source = f"the gateway {peer}"
         if found.configuration:
-            self._store.take_configuration(found.configuration, source)
+            self._store.apply_configuration(found.configuration, source)
         if found.revision > self._state.targets.revision:
             self._state.targets.replace(
                 found.targets, found.revision, after_outage=False
--- a/magnoliacove/gateway/process.py
+++ b/magnoliacove/gateway/process.py
@@ -21,7 +21,7 @@
 from magnoliacove.gateway.crashes import CrashWatch
 from magnoliacove.gateway.engines import EngineCalls
 from magnoliacove.gateway.gauges import read_gauges
-from magnoliacove.gateway.notices import make_listener
+from magnoliacove.gateway.notices import make_notice_handler
 from magnoliacove.gateway.peering import PeerExchange
 from magnoliacove.gateway.pool import ChannelPool
 from magnoliacove.gateway.quarantine_records import QuarantineRecords
@@ -95,7 +95,7 @@
         backpressure = BackpressureBook(recorder)
         grants = GrantBook(settings.name)
         permits = Permits(backpressure, grants)
-        pool = ChannelPool(hear=make_listener(backpressure, health))
+        pool = ChannelPool(hear=make_notice_handler(backpressure, health))
         self.state = GatewayState(
             name=settings.name,
             data_centre=settings.data_centre,
@@ -105,7 +105,7 @@
             health=health,
             holdings=holdings,
             loads=loads,
-            unheard=unheard,
+            unreported=unheard,
             budget=limits.SharedRetryBudget(
                 bounds.retry_ratio, bounds.retry_slack, bounds.retry_window
             ),
@@ -144,7 +144,7 @@
         self._store = StoreFollower(
             self.state,
             api,
-            lambda: self._peers.is_replaced(),
+            lambda: self._peers.has_acting_peer_with_store(),
             bounds.drain,
         )
         self._peers = PeerExchange(
@@ -169,12 +169,12 @@
         )
         self._leadership = leadership.Leadership(
             leadership.LeadershipSources(
-                self._peers.read_store_silence,
-                self._peers.is_first,
-                self._peers.is_done_elsewhere,
-                self._peers.is_replaced,
-                self._store.note_answered,
-                self._store.note_lost,
+                self._peers.measure_store_outage,
+                self._peers.is_fallback_leader,
+                self._peers.has_acting_peer,
+                self._peers.has_acting_peer_with_store,
+                self._store.record_answer,
+                self._store.record_failure,
             ),
             lease,
             recorder,
@@ -192,7 +192,7 @@
                 is_settled=lambda: (
                     self.state.seen_traffic or not settings.first_start
                 ),
-                tell=self._peers.tell_news,
+                tell=self._peers.announce_update,
             ),
             self._leadership,
         )
@@ -366,7 +366,7 @@
         return {
             **read_gauges(self.state),
             "store_silence_seconds": min(
-                _MOST_SILENCE, self._peers.read_store_silence()
+                _MOST_SILENCE, self._peers.measure_store_outage()
             ),
             "store_era": self._store.era.number,
             "store_calls": getattr(self._api, "calls", 0),
--- a/magnoliacove/gateway/relay.py
+++ b/magnoliacove/gateway/relay.py
@@ -153,7 +153,7 @@
     async def _run(self, exchange: Exchange, routed: RoutedRequest) -> None:
         state = self._state
         state.budget.note_request(routed.service.name)
-        state.unheard.note_request(routed.service.name)
+        state.unreported.note_request(routed.service.name)
         state.recorder.record(
             "request-arrived",
             request=routed.marks.request,
--- a/magnoliacove/gateway/stalls.py
+++ b/magnoliacove/gateway/stalls.py
@@ -18,9 +18,9 @@
 from magnoliacove.directory.listed import ListedTarget
 from magnoliacove.gateway.detours import Detours
 from magnoliacove.gateway.detours import PathUser
+from magnoliacove.gateway.engine_checks import EngineChecks
 from magnoliacove.gateway.engines import EngineCalls
 from magnoliacove.gateway.engines import was_held_up
-from magnoliacove.gateway.presence import EngineChecks
 from magnoliacove.gateway.state import GatewayState
 from magnoliacove.routing.paths import PathStage
 
--- a/magnoliacove/gateway/state.py
+++ b/magnoliacove/gateway/state.py
@@ -46,7 +46,7 @@
     health: Health
     holdings: Holdings
     loads: LoadBook
-    unheard: UnheardRequests
+    unreported: UnheardRequests
     budget: SharedRetryBudget
     room: RoomQueue
     pool: ChannelPool
@@ -58,7 +58,7 @@
     permits: Permits
     quarantine: QuarantineBook
     routes: RouteTable | None = None
-    routes_at: float = 0.0
+    routes_applied_at: float = 0.0
     leaving: bool = False
     seen_traffic: bool = False
     open_requests: int = 0
@@ -66,7 +66,7 @@
     _route_listeners: list[Callable[[], None]] = field(default_factory=list)
     _routes_known: trio.Event = field(default_factory=trio.Event)
 
-    def find_gaps(self, service: str) -> GapClock:
+    def get_gap_clock(self, service: str) -> GapClock:
         """Return what is known of the gaps in a model's layers."""
         return self._gaps.setdefault(service, GapClock())
 
@@ -80,7 +80,7 @@
             return False
         return not self.crashes.is_suspected(fingerprint)
 
-    def take_routes(self, table: RouteTable, source: str) -> bool:
+    def apply_routes(self, table: RouteTable, source: str) -> bool:
         """Put a newer configuration in force; never an older one.
 
         :param source: where it came from, for the log.
@@ -89,7 +89,7 @@
             return False
         self.routes = table
         self._routes_known.set()
-        self.routes_at = trio.current_time()
+        self.routes_applied_at = trio.current_time()
         self.recorder.version = table.version
         self.recorder.record(
             "configuration-in-force",
--- a/magnoliacove/gateway/store.py
+++ b/magnoliacove/gateway/store.py
@@ -104,7 +104,7 @@
         drain: float = 0.0,
     ) -> None:
         self.reachable = False
-        self.lost_at = -1e9
+        self.unreachable_since = -1e9
         self._outage_at = -1e9
         self.configuration = b""
         self._state = state
@@ -129,25 +129,25 @@
             nursery.start_soon(self._repeat, self._follow_configuration)
             nursery.start_soon(self._repeat, self._follow_targets)
 
-    def note_answered(self) -> None:
+    def record_answer(self) -> None:
         """Take it that the store answers."""
         if not self.reachable:
-            self.note_outage()
+            self.record_outage()
             self._state.recorder.record("store-regained")
         self.reachable = True
 
-    def note_lost(self, why: str) -> None:
+    def record_failure(self, why: str) -> None:
         """Take it that the store does not answer.
 
         Watches wait for seconds and may outlive the store's refusal of all
         new calls, so whoever makes a call tells how it went.
         """
         if self.reachable:
-            self.lost_at = trio.current_time()
+            self.unreachable_since = trio.current_time()
             self._state.recorder.record("store-lost", why=why)
         self.reachable = False
 
-    def note_outage(self) -> None:
+    def record_outage(self) -> None:
         """Take it that the store is away, for this process or a peer.
 
         A watch may wait through a whole outage and then bring the removal
@@ -160,7 +160,7 @@
         """The store's era, as far as this process knows."""
         return self._api.era
 
-    def take_era(self, era: int, peer: str) -> None:
+    def update_era(self, era: int, peer: str) -> None:
         """Take the store's era from a peer, who may reach it sooner.
 
         :param era: 0 when it knows none.
@@ -183,7 +183,7 @@
         )
         self._state.targets.note_restored()
         self._list_lapsed = True
-        self.note_outage()
+        self.record_outage()
         self._list_watch.end()
         self._configuration_watch.end()
 
@@ -205,7 +205,7 @@
             )
             self._list_watch.end()
 
-    def take_configuration(self, value: bytes, source: str) -> None:
+    def apply_configuration(self, value: bytes, source: str) -> None:
         """Put a configuration in force, unless it cannot be read."""
         try:
             table = read_routes(orjson.loads(value))
@@ -218,7 +218,7 @@
                     "configuration-unreadable", why=str(why), source=source
                 )
             return
-        if self._state.take_routes(table, source):
+        if self._state.apply_routes(table, source):
             self.configuration = value
 
     async def _repeat(
@@ -235,13 +235,13 @@
                 await backoff.pause()
             except errors.PlatformError as why:
                 self._list_lapsed = True
-                self.note_lost(str(why))
+                self.record_failure(str(why))
                 await backoff.pause()
 
     async def _follow_configuration(self, backoff: Backoff) -> None:
         watch = self._configuration_watch
         listing = await self._api.list_records(watch.kind)
-        self.note_answered()
+        self.record_answer()
         self._take_records(listing.records)
         backoff.reset()
         revision, changed_at = listing.revision, -math.inf
@@ -250,7 +250,7 @@
             if found is None:
                 return
             events, revision = found
-            self.note_answered()
+            self.record_answer()
             if not events:
                 continue
             self._take_records(tuple(event.record for event in events))
@@ -263,7 +263,7 @@
     async def _read_newest(self) -> int:
         """Read the configuration as it is now; return its revision."""
         record = await self._api.get(_CONFIGURATION_NAME)
-        self.note_answered()
+        self.record_answer()
         if record is None:
             return 0
         self._take_records((record,))
@@ -278,12 +278,12 @@
         ]
         if found:
             newest = max(found, key=lambda record: record.version)
-            self.take_configuration(newest.value, _SOURCE)
+            self.apply_configuration(newest.value, _SOURCE)
 
     async def _follow_targets(self, backoff: Backoff) -> None:
         watch = self._list_watch
         listing = await self._api.list_records(watch.kind)
-        self.note_answered()
+        self.record_answer()
         self._state.targets.replace(
             self._read_targets(listing.records),
             listing.revision,
@@ -297,7 +297,7 @@
             if found is None:
                 return
             events, revision = found
-            self.note_answered()
+            self.record_answer()
             for event in events:
                 self._take_event(event)
             self._state.targets.expire()
--- a/magnoliacove/gateway/streams.py
+++ b/magnoliacove/gateway/streams.py
@@ -160,7 +160,7 @@
     def note_lost(self, targets: Iterable[str]) -> None:
         """Take it that engines of the present path are lost."""
         age = self._delivery.read_run_age()
-        self._crashes.note_lost(targets, self._routed, age)
+        self._crashes.check_failed_engines(targets, self._routed, age)
 
     def _leave_if_moved(self) -> None:
         """Leave the path now if that had to wait for a write."""
@@ -184,7 +184,7 @@
             finally:
                 self._hold.leave()
             name = first.name if first else ""
-            await self._crashes.wait_answer(name, self.fingerprint)
+            await self._crashes.wait_until_checked(name, self.fingerprint)
             if not self._may_go_on(failure):
                 await self._give_up(failure)
                 return
@@ -245,7 +245,7 @@
         self._lines.note_lost(first.name if first else "", failure)
         if first is not None and failure.ran and failure.answer is None:
             age = self._delivery.read_run_age()
-            self._crashes.note_broken(first, self._routed, age)
+            self._crashes.check_broken_run(first, self._routed, age)
 
     def _may_go_on(self, failure: BrokenRunError) -> bool:
         """Return whether another path may be tried."""
--- a/measure/limits.py
+++ b/measure/limits.py
@@ -134,7 +134,7 @@
             self.unheard.counted_for,
             self.unheard.list_counts(),
             tuple(self.book.list_own()),
-            self.sharing.hand_out(),
+            self.sharing.issue_grants(),
         )
 
     def hear(self, news: News) -> None:
--- a/tests/gateway/stubs.py
+++ b/tests/gateway/stubs.py
@@ -16,7 +16,7 @@
 from magnoliacove.gateway.callers import CallerConnection
 from magnoliacove.gateway.crashes import CrashWatch
 from magnoliacove.gateway.engines import EngineCalls
-from magnoliacove.gateway.notices import make_listener
+from magnoliacove.gateway.notices import make_notice_handler
 from magnoliacove.gateway.pool import ChannelPool
 from magnoliacove.gateway.relay import Relay
 from magnoliacove.gateway.stalls import StallWatch
@@ -187,7 +187,7 @@
         backpressure = BackpressureBook(self.recorder)
         grants = GrantBook("gateway")
         permits = Permits(backpressure, grants)
-        hear = make_listener(backpressure, health)
+        hear = make_notice_handler(backpressure, health)
         loads, pool = LoadBook(), ChannelPool(nursery.start_soon, hear)
         unheard, rng = UnheardRequests(), random.Random(1)
         self.state = GatewayState(
--- a/tests/gateway/test_calls.py
+++ b/tests/gateway/test_calls.py
@@ -64,7 +64,7 @@
 
         async def configure():
             await trio.sleep(0.2)
-            stage.state.take_routes(table, "a test")
+            stage.state.apply_routes(table, "a test")
 
         stage.nursery.start_soon(configure)
         assert (await stage.ask("/get/1")).endswith(b"ok")
--- a/tests/gateway/test_crashes.py
+++ b/tests/gateway/test_crashes.py
@@ -150,7 +150,7 @@
                 fingerprint=f"{number:016x}",
                 marks=types.SimpleNamespace(request=f"r{number}"),
             )
-            stage.crashes.note_lost(["i-1"], routed, 0.1)
+            stage.crashes.check_failed_engines(["i-1"], routed, 0.1)
         await trio.sleep(0.2)
         known = stage.state.crashes
         assert [known.was_at_end(f"{n:016x}") for n in range(3)] == [True] * 3
@@ -234,13 +234,13 @@
     async with stubs.open_stage() as stage:
         for number in range(3):
             run = CrashedRun("00000000000000ab", number, f"i-{number}", 0.1)
-            stage.crashes.take_crash(run, 0.0)
+            stage.crashes.record_reported_crash(run, 0.0)
         await trio.sleep(1.6)
         book = stage.state.quarantine
         assert book.find("00000000000000ab") is not None
         book._known.clear()
         other = CrashedRun("00000000000000ac", 9, "i-9", 0.1)
-        stage.crashes.take_crash(other, 0.0)
+        stage.crashes.record_reported_crash(other, 0.0)
         await trio.sleep(1.6)
         assert book.find("00000000000000ab") is None
 
@@ -261,7 +261,7 @@
         stage.state.crashes._answered.clear()
         for number in range(3):
             run = CrashedRun(told[0], number, f"i-{number}", 0.1)
-            stage.crashes.take_crash(run, 0.0)
+            stage.crashes.record_reported_crash(run, 0.0)
         await trio.sleep(1.6)
         answer = await _ask(stage, "/stream/bad", 2)
         assert answer.split(b" ")[1] == b"503"
--- a/tests/gateway/test_presence.py
+++ b/tests/gateway/test_engine_checks.py
@@ -5,7 +5,7 @@
 import pytest
 import trio
 
-from magnoliacove.gateway.presence import EngineChecks
+from magnoliacove.gateway.engine_checks import EngineChecks
 from tests.gateway import stubs
 
 _REPORT = json.dumps({"sequence": 1}).encode()
@@ -77,7 +77,7 @@
         target = stage.state.targets.find("i-1")
         times = iter([100.0])
         monkeypatch.setattr(
-            "magnoliacove.gateway.presence.trio.current_time",
+            "magnoliacove.gateway.engine_checks.trio.current_time",
             lambda: next(times, 101.0),
         )
         assert await _make_checks(stage).read_report(target, "asked") is None
--- a/tests/gateway/test_peering.py
+++ b/tests/gateway/test_peering.py
@@ -99,7 +99,7 @@
 async def test_a_holder_gives_way_to_a_peer_that_reaches_the_store(tmp_path):
     async with stubs.open_stage() as stage:
         exchange = _make_exchange(stage, tmp_path)
-        assert not exchange.is_replaced()
+        assert not exchange.has_acting_peer_with_store()
         for reachable in (False, True):
             beat = _make_heartbeat(
                 acting=True,
@@ -108,7 +108,7 @@
                 address=str(wire.Address("127.0.0.1", 2)),
             )
             exchange.heartbeats._take_one(beat)
-            assert exchange.is_replaced() == reachable
+            assert exchange.has_acting_peer_with_store() == reachable
 
 
 async def test_a_leaving_holder_is_followed_while_the_store_is_away(tmp_path):
@@ -125,20 +125,20 @@
         )
         exchange.heartbeats._take_one(leaving)
         exchange.heartbeats._take_one(other)
-        assert exchange.is_first()
+        assert exchange.is_fallback_leader()
         reached = _make_heartbeat(name="z-4", address="127.0.0.1:4")
         exchange.heartbeats._take_one(reached)
-        assert not exchange.is_first()
+        assert not exchange.is_fallback_leader()
 
 
 async def test_a_long_wait_of_a_watch_is_no_silence(tmp_path):
     async with stubs.open_stage() as stage:
         exchange = _make_exchange(stage, tmp_path)
-        assert exchange.read_store_silence() > 1e6
-        exchange._store.note_answered()
-        assert exchange.read_store_silence() == 0.0
-        exchange._store.note_lost("refused")
-        assert 0.0 <= exchange.read_store_silence() < 1.0
+        assert exchange.measure_store_outage() > 1e6
+        exchange._store.record_answer()
+        assert exchange.measure_store_outage() == 0.0
+        exchange._store.record_failure("refused")
+        assert 0.0 <= exchange.measure_store_outage() < 1.0
 
 
 @pytest.mark.parametrize("engines", [130, 850, 3000, 4000])
--- a/tests/gateway/test_store.py
+++ b/tests/gateway/test_store.py
@@ -44,7 +44,7 @@
     state, store, follower = await _start(nursery)
     await store.put("config/main", _write(12))
     await trio.sleep(0.5)
-    follower.take_configuration(_write(7), "a peer")
+    follower.apply_configuration(_write(7), "a peer")
     assert state.routes.version == 12
 
 
@@ -179,7 +179,7 @@
     for name in ("i-1", "i-2"):
         await store.put(f"servers/{name}", json.dumps(_ENTRY).encode())
     await trio.sleep(0.5)
-    follower.note_outage()
+    follower.record_outage()
     await store.delete("servers/i-1")
     await store.delete("servers/i-2")
     await trio.sleep(1.0)
