--- a/magnoliacove/gateway/crashes.py
+++ b/magnoliacove/gateway/crashes.py
@@ -1,10 +1,11 @@
-"""Finding out which requests end the targets that run them.
-
-A run that breaks off may have met a lost connection as well as a target that
-ended, so the target is asked first: a process that is gone refuses
-connections, one that started again tells when.  An instance that answers
-nothing, by resets or by silence, tells neither until its target is back.  It
-is asked until then, and meanwhile counts against repeats of the request.
+"""Detection of requests that crash the targets that run them.
+
+A run can break off because its connection was lost or because its target
+ended, so the target is probed first.  A process that ended refuses
+connections, and one that restarted reports a new incarnation.  An instance
+that resets every connection or does not respond shows neither until its
+target is back.  It is probed until then, and meanwhile counts against
+retries of the request.
 """
 
 from collections.abc import Callable
@@ -26,59 +27,63 @@
 
 __all__ = ["CrashWatch"]
 
-# When a target under which a run broke off is asked, in seconds after that.
-# A process that ended refuses at once; one whose instance falls silent is
-# known by its next start, or by its entry, as soon as it is back.
-_ASK_AFTER = (0.0, 0.5, 1.2, 2.0, 2.7, 3.4, 4.2, 5.0, 7.0, 10.0, 15.0, 20.0)
-_ASK_TIMEOUT = 0.4
-# Ends are put down to a request this long after the last news of them, in
-# seconds: by then the other gateways have told what ran there too.
-_SETTLE = 0.25
-# News that keeps coming does not put that off for longer, seconds.
-_MOST_SETTLE = 0.75
-# A gateway that saw none of the ends lately decides so much later, in seconds:
-# one that did has told its finding by then, and not each of 330 gateways
-# writes the same to the store.
-_AFTER_OBSERVERS = (0.5, 1.0)
-# Answers are kept for runs that break off a little later, in seconds: of a
-# target that ended, and of one that lives.
-_ANSWER_KEPT = 30.0
-_LIVES_FOR = 0.5
-# A request that was at an end before waits so long for the answer about its
-# next target, seconds.  A process that is gone refuses within milliseconds.
-_ANSWER_WAIT = 0.1
-# Fingerprints that one line names.
-_MOST_NAMED = 8
+# Seconds after a run breaks off at which its target is probed.  A process that
+# ended refuses at once.  One whose instance is unresponsive is identified by
+# its next incarnation, or by its directory entry, as soon as it is back.
+_PROBE_DELAYS = (0.0, 0.5, 1.2, 2.0, 2.7, 3.4, 4.2, 5.0, 7.0, 10.0, 15.0, 20.0)
+# Seconds until one probe times out.
+_PROBE_TIMEOUT = 0.4
+# Seconds without a further crash report before crashes are attributed to
+# requests.  By then the other gateways have reported what ran there too.
+_QUIET_PERIOD = 0.25
+# Maximum seconds for which further reports delay that decision.
+_MAX_SETTLE_TIME = 0.75
+# Range of the extra delay, in seconds, of a gateway that observed none of the
+# recent crashes.  A gateway that did has announced its decision by then, so
+# that not each of 330 gateways writes the same quarantine to the store.
+_NON_OBSERVER_DELAY = (0.5, 1.0)
+# Seconds for which a probe is kept for runs that break off a little later, and
+# for which the result that a target is alive stays valid.
+_PROBE_RETENTION = 30.0
+_ALIVE_VALIDITY = 0.5
+# Maximum seconds for which a request with an earlier crash waits for the probe
+# of its next target.  A process that ended refuses within milliseconds.
+_MAX_RESULT_WAIT = 0.1
+# Maximum number of fingerprints in one log line.
+_MAX_LOGGED_FINGERPRINTS = 8
 
 
 @dataclass
-class _Question:
-    """Whether one target ended, and the runs that broke off there.
+class _Probe:
+    """A probe of whether one target ended, and the runs that broke off there.
 
     :param ended: None while that is not known.
-    :param silent: whether the target gave no answer to the first question.
+    :param silent: whether the target did not answer the first attempt.
     """
 
-    asked_at: float
+    started_at: float
     silent: bool = False
     runs: dict[tuple[str, int], CrashedRun] = field(default_factory=dict)
     ended: bool | None = None
-    answered: trio.Event = field(default_factory=trio.Event)
+    finished: trio.Event = field(default_factory=trio.Event)
 
-    def still_holds(self, now: float) -> bool:
-        """Return whether the answer tells of a run that broke off now.
+    def is_valid(self, now: float) -> bool:
+        """Return whether the result applies to a run that breaks off now.
 
-        What ended stays so; what lived may have ended since.
+        An ended target stays ended, but one that was alive may have ended
+        since.
         """
-        return self.ended is not False or now - self.asked_at < _LIVES_FOR
+        return (
+            self.ended is not False or now - self.started_at < _ALIVE_VALIDITY
+        )
 
 
 class CrashWatch:
-    """Keeps requests away that end targets, for one gateway.
+    """Quarantines requests that crash targets, for one gateway.
 
-    :param tell: called when the peers are to hear of something at once.
-    :param save: called with each quarantine that is to outlast this process.
-    :param look: called when the store may know of quarantines that are not
+    :param announce: called to send a heartbeat to the peers at once.
+    :param save: called with each quarantine that must outlast this process.
+    :param reload: called when the store may hold quarantines that are not
         known here.
     """
 
@@ -86,41 +91,41 @@
         self,
         state: GatewayState,
         calls: EngineCalls,
-        tell: Callable[[], None] = lambda: None,
+        announce: Callable[[], None] = lambda: None,
         save: Callable[[Quarantine], None] = lambda _: None,
-        look: Callable[[], None] = lambda: None,
+        reload: Callable[[], None] = lambda: None,
     ) -> None:
         self._state = state
         self._calls = calls
-        self._tell = tell
+        self._announce = announce
         self._save = save
-        self._look = look
-        self._questions: dict[str, _Question] = {}
-        # Requests in quarantine, as of the last look.
-        self._held: set[str] = set()
-        self._news = trio.Event()
+        self._reload = reload
+        self._probes: dict[str, _Probe] = {}
+        # Fingerprints of the requests in quarantine, as of the last check.
+        self._quarantined: set[str] = set()
+        self._changed = trio.Event()
         self._nursery: trio.Nursery | None = None
 
     async def run(self) -> None:
-        """Decide on the ends of targets until cancelled."""
+        """Attribute crashes to requests until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             try:
                 while True:
-                    await self._news.wait()
-                    await self._settle()
-                    self._decide()
+                    await self._changed.wait()
+                    await self._wait_until_settled()
+                    self._update_quarantines()
             finally:
                 self._nursery = None
 
-    # What runs of requests tell.
+    # Results of this gateway's runs.
 
     def check_broken_run(
         self, target: ListedTarget, routed: RoutedRequest, seconds: float
     ) -> None:
-        """Find out whether a target ended under a run that broke off there.
+        """Probe whether a target ended while it ran what broke off there.
 
-        :param seconds: how long the run had gone on since its first bytes.
+        :param seconds: duration of the run since its first bytes.
         """
         run = CrashedRun(
             routed.fingerprint,
@@ -129,97 +134,99 @@
             seconds,
         )
         now = trio.current_time()
-        question = self._questions.get(target.name)
-        if question is None or not question.still_holds(now):
-            question = self._questions[target.name] = _Question(now)
+        probe = self._probes.get(target.name)
+        if probe is None or not probe.is_valid(now):
+            probe = self._probes[target.name] = _Probe(now)
             if self._nursery is not None:
-                self._nursery.start_soon(self._ask, target, question)
-        if question.ended is None:
-            question.runs.setdefault((run.fingerprint, run.attempt), run)
-            if question.silent:
-                self._note_silent([run])
+                self._nursery.start_soon(self._run_probe, target, probe)
+        if probe.ended is None:
+            probe.runs.setdefault((run.fingerprint, run.attempt), run)
+            if probe.silent:
+                self._record_silent([run])
             return
-        self._note_answer(question.ended, run)
+        self._record_result(probe.ended, run)
 
     async def wait_until_checked(self, target: str, fingerprint: str) -> None:
-        """Wait for a moment until it is known whether a target ended.
+        """Wait briefly for the result of a target's probe.
 
-        Only for a request that was at an end before: without it each attempt
-        ends a second target before the end of the first one is known.
+        Only a request that was running at an earlier crash waits.  Without
+        the wait each attempt crashes a second target before the crash of the
+        first one is known.
         """
-        question = self._questions.get(target)
-        if question is None or not self._state.crashes.was_at_end(fingerprint):
+        probe = self._probes.get(target)
+        if probe is None or not self._state.crashes.was_at_end(fingerprint):
             return
-        with trio.move_on_after(_ANSWER_WAIT):
-            await question.answered.wait()
+        with trio.move_on_after(_MAX_RESULT_WAIT):
+            await probe.finished.wait()
 
     def note_answered(self, fingerprint: str) -> None:
-        """Take it that a request was answered in full, so it is harmless."""
+        """Record that a request was answered in full, so it is harmless."""
         state = self._state
         state.crashes.note_answered(fingerprint)
         ended = state.quarantine.end(fingerprint, "it was answered")
         if ended is not None:
-            self._settle_ended()
+            self._settle_expired()
             self._save(ended)
-            self._tell()
+            self._announce()
 
     def check_failed_engines(
         self, names: Iterable[str], routed: RoutedRequest, seconds: float
     ) -> None:
-        """Find out whether engines of a stream's path ended under it.
+        """Probe whether engines of a stream's path ended while they ran it.
 
-        This comes again and again until the stream is led elsewhere; one that
-        was asked and lives is not asked each time.  Runs that come before the
-        answer count too: all streams through an engine are led around it in
-        one go, and the one that ended it is seldom the first.
+        This is called repeatedly until the stream is rerouted, and an engine
+        that was found alive is not probed each time.  Runs that are reported
+        before the result count too: all streams through an engine are
+        rerouted together, and the one that crashed it is seldom the first.
         """
         for name in names:
             target = self._state.targets.find(name)
-            asked = self._questions.get(name)
+            asked = self._probes.get(name)
             lives = asked is not None and asked.ended is False
             if target is not None and not lives:
                 self.check_broken_run(target, routed, seconds)
 
-    # What peers tell.
+    # Reports of peers.
 
     def record_reported_crash(self, run: CrashedRun, age: float) -> None:
-        """Take a target's end that a peer saw."""
+        """Record a crash that a peer observed."""
         crashes = self._state.crashes
         if not crashes.note_crash(run, age=age, own=False):
             return
-        self._news.set()
+        self._changed.set()
         if crashes.has_answered(run.fingerprint):
-            # The others are about to decide, and a heartbeat that is due
-            # only in seconds would tell them too late that it is harmless.
-            self._tell()
+            # The peers are about to decide, and the next regular heartbeat,
+            # due only in seconds, would report too late that the request is
+            # harmless.
+            self._announce()
 
     def forget(self) -> None:
-        """Drop what is too old to say anything."""
+        """Discard crashes and probes that are too old to count."""
         self._state.crashes.forget_old()
-        self._settle_ended()
-        limit = trio.current_time() - _ANSWER_KEPT
-        for name, question in list(self._questions.items()):
-            if question.asked_at < limit:
-                del self._questions[name]
+        self._settle_expired()
+        limit = trio.current_time() - _PROBE_RETENTION
+        for name, probe in list(self._probes.items()):
+            if probe.started_at < limit:
+                del self._probes[name]
 
-    # Asking a target.
+    # Probing a target.
 
-    async def _ask(self, target: ListedTarget, question: _Question) -> None:
+    async def _run_probe(self, target: ListedTarget, probe: _Probe) -> None:
         ended = None
-        for after in _ASK_AFTER:
-            await trio.sleep_until(question.asked_at + after)
+        for after in _PROBE_DELAYS:
+            await trio.sleep_until(probe.started_at + after)
             ended = await self._has_ended(target)
             if ended is not None:
                 break
-            if not question.silent:
-                question.silent = True
-                self._note_silent(question.runs.values())
-        question.ended = bool(ended)
-        question.answered.set()
-        runs = sorted(question.runs.values(), key=lambda run: run.seconds)
-        question.runs.clear()
+            if not probe.silent:
+                probe.silent = True
+                self._record_silent(probe.runs.values())
+        probe.ended = bool(ended)
+        probe.finished.set()
+        runs = sorted(probe.runs.values(), key=lambda run: run.seconds)
+        probe.runs.clear()
         for run in runs:
-            self._note_answer(question.ended, run)
+            self._record_result(probe.ended, run)
         if not ended:
             return
         state = self._state
@@ -230,18 +237,19 @@
             runs=len(runs),
             fingerprints={
                 run.fingerprint: round(run.seconds, 3)
-                for run in runs[:_MOST_NAMED]
+                for run in runs[:_MAX_LOGGED_FINGERPRINTS]
             },
         )
         state.meters.count("targets_ended_total", service=target.service)
         state.health.suspect(target.name, "it ended while requests ran there")
-        self._look()
-        self._tell()
+        self._reload()
+        self._announce()
 
     async def _has_ended(self, target: ListedTarget) -> bool | None:
-        """Return whether a target's process is gone, None when unknown.
+        """Return whether a target's process ended, None when unknown.
 
-        One that leaves in order is not ended by what still runs there.
+        A target that is draining ends in an orderly way, so what still runs
+        there is not the cause.
         """
         known = self._state.targets
         listed = known.find(target.name)
@@ -251,87 +259,93 @@
             return False
         if target.name in known.list_former():
             return True
-        with trio.move_on_after(_ASK_TIMEOUT):
+        with trio.move_on_after(_PROBE_TIMEOUT):
             try:
-                return await self._ask_once(target)
-            except TargetError as why:
-                # It did not answer, or only an end of the connection did.
-                return True if why.refused else None
+                return await self._probe_once(target)
+            except TargetError as error:
+                # The target did not answer, or only closed the connection.
+                return True if error.refused else None
         return None
 
-    async def _ask_once(self, target: ListedTarget) -> bool:
+    async def _probe_once(self, target: ListedTarget) -> bool:
         """Return whether another incarnation runs at a target's address.
 
-        :raises TargetError: when nobody answers there.
+        :raises TargetError: when there is no answer.
         """
         may_ask = self._state.permits.try_call
         if not target.accelerator or not may_ask(target.name):
-            # A plain service has no report, and an engine in need may want no
-            # questions; it takes connections, so it runs.
+            # A plain service has no report, and an engine that names a limit
+            # or asks for back-off may not permit a call.  A target that
+            # accepts a connection is running.
             async with self._state.pool.use(target, fresh=True):
                 return False
         report = await self._calls.read_report(target, fresh=True)
         return report.incarnation not in (0, target.incarnation)
 
-    def _note_silent(self, runs: Iterable[CrashedRun]) -> None:
-        """Take it that the target of some runs answers nothing."""
+    def _record_silent(self, runs: Iterable[CrashedRun]) -> None:
+        """Record that the target of some runs does not answer."""
         for run in runs:
             self._state.crashes.silent.note(run)
-        self._tell()
+        self._announce()
 
-    def _note_answer(self, ended: bool, run: CrashedRun) -> None:
+    def _record_result(self, ended: bool, run: CrashedRun) -> None:
         crashes = self._state.crashes
         crashes.silent.drop(run)
         if not ended:
             crashes.note_run(run.fingerprint, run.seconds)
             return
         if crashes.note_crash(run):
-            self._news.set()
-
-    # Deciding.
-
-    async def _settle(self) -> None:
-        """Wait until no more news of ends comes."""
-        limit = trio.current_time() + _MOST_SETTLE
-        while self._news.is_set() and trio.current_time() < limit:
-            self._news = trio.Event()
-            with trio.move_on_after(_SETTLE):
-                await self._news.wait()
+            self._changed.set()
+
+    # Attributing crashes to requests.
+    async def _wait_until_settled(self) -> None:
+        """Wait until no further crashes are reported."""
+        limit = trio.current_time() + _MAX_SETTLE_TIME
+        while self._changed.is_set() and trio.current_time() < limit:
+            self._changed = trio.Event()
+            with trio.move_on_after(_QUIET_PERIOD):
+                await self._changed.wait()
         if not self._state.crashes.list_own():
-            await trio.sleep(random.uniform(*_AFTER_OBSERVERS))
+            await trio.sleep(random.uniform(*_NON_OBSERVER_DELAY))
 
-    def _decide(self) -> None:
+    def _update_quarantines(self) -> None:
         state = self._state
-        self._settle_ended()
-        held = state.quarantine.list_all()
-        causes = state.crashes.find_causes(one.fingerprint for one in held)
+        self._settle_expired()
+        quarantines = state.quarantine.list_all()
+        causes = state.crashes.find_causes(
+            active.fingerprint for active in quarantines
+        )
         begun = [
             state.quarantine.begin(
-                fingerprint, crashes, f"{crashes} targets ended under it"
+                fingerprint,
+                crashes,
+                f"{crashes} targets ended while they ran it",
             )
             for fingerprint, crashes in causes.items()
         ]
-        why = "a target ended under it again"
-        for one in held:
-            last = state.crashes.read_last_crash(one.fingerprint)
-            if state.quarantine.is_tried_again(one.fingerprint, last):
+        why = "another target ended while it ran it"
+        for active in quarantines:
+            last = state.crashes.read_last_crash(active.fingerprint)
+            if state.quarantine.is_tried_again(active.fingerprint, last):
                 begun.append(
                     state.quarantine.begin(
-                        one.fingerprint, one.crashes + 1, why
+                        active.fingerprint, active.crashes + 1, why
                     )
                 )
         for quarantine in begun:
-            self._held.add(quarantine.fingerprint)
+            self._quarantined.add(quarantine.fingerprint)
             self._save(quarantine)
         if begun:
-            self._tell()
+            self._announce()
 
-    def _settle_ended(self) -> None:
-        """Let the ends count no more whose quarantine is over.
+    def _settle_expired(self) -> None:
+        """Discard the crashes of requests whose quarantine is over.
 
-        Else the next news of any end would begin it again.
+        Otherwise the next report of any crash would begin it again.
         """
-        held = {one.fingerprint for one in self._state.quarantine.list_all()}
-        for fingerprint in self._held - held:
+        fingerprints = {
+            active.fingerprint for active in self._state.quarantine.list_all()
+        }
+        for fingerprint in self._quarantined - fingerprints:
             self._state.crashes.settle(fingerprint)
-        self._held = held
+        self._quarantined = fingerprints
