--- a/magnoliacove/gateway/crashes.py
+++ b/magnoliacove/gateway/crashes.py
@@ -65,7 +65,7 @@
     silent: bool = False
     runs: dict[tuple[str, int], CrashedRun] = field(default_factory=dict)
     ended: bool | None = None
-    finished: trio.Event = field(default_factory=trio.Event)
+    answered: trio.Event = field(default_factory=trio.Event)
 
     def is_valid(self, now: float) -> bool:
         """Return whether the result applies to a run that breaks off now.
@@ -157,7 +157,7 @@
         if probe is None or not self._state.crashes.was_at_end(fingerprint):
             return
         with trio.move_on_after(_MAX_RESULT_WAIT):
-            await probe.finished.wait()
+            await probe.answered.wait()
 
     def note_answered(self, fingerprint: str) -> None:
         """Record that a request was answered in full, so it is harmless."""
@@ -222,7 +222,7 @@
                 probe.silent = True
                 self._record_silent(probe.runs.values())
         probe.ended = bool(ended)
-        probe.finished.set()
+        probe.answered.set()
         runs = sorted(probe.runs.values(), key=lambda run: run.seconds)
         probe.runs.clear()
         for run in runs:
@@ -343,9 +343,9 @@
 
         Otherwise the next report of any crash would begin it again.
         """
-        fingerprints = {
+        active_now = {
             active.fingerprint for active in self._state.quarantine.list_all()
         }
-        for fingerprint in self._quarantined - fingerprints:
+        for fingerprint in self._quarantined - active_now:
             self._state.crashes.settle(fingerprint)
-        self._quarantined = fingerprints
+        self._quarantined = active_now
--- a/magnoliacove/gateway/peering.py
+++ b/magnoliacove/gateway/peering.py
@@ -1,4 +1,4 @@
-"""What one gateway tells its peers and takes from them."""
+"""The exchange of heartbeats and snapshots between a gateway and its peers."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING
@@ -28,22 +28,22 @@
 
 __all__ = ["PeerExchange"]
 
-# A peer's configuration or list is asked for after our own view has been
-# behind for so long; the store's own answer mostly comes first.
-_BEHIND = 0.4
-# Peers are given snapshots this long after the start, in seconds.  The first
-# callers of a fleet that starts would wait while what that needs is loaded; a
-# peer asks another gateway meanwhile.
-_SNAPSHOTS_AFTER = 1.0
-# Engines of which one heartbeat tells what they hold: more than a few hundred
-# gateways need, and a third of what one datagram has room for.
-_MOST_HOLDINGS = 1_000
+# Seconds for which this gateway's configuration or list of targets must be
+# behind before a peer's is requested.  The store mostly answers first.
+_CATCH_UP_DELAY = 0.4
+# Seconds after the start until snapshots are served to peers.  Otherwise the
+# first callers of a fleet that starts would wait while the modules for it are
+# loaded.  Meanwhile a peer asks another gateway.
+_SNAPSHOT_SERVER_DELAY = 1.0
+# Maximum number of engines whose status one heartbeat reports: more than a few
+# hundred gateways need, and a third of the capacity of one datagram.
+_MAX_HOLDINGS = 1_000
 
 
 class PeerExchange:
     """The heartbeats and snapshots of one gateway.
 
-    :param is_acting: whether this gateway does the placement duty.
+    :param is_acting: whether this gateway acts as placement leader.
     """
 
     def __init__(
@@ -69,7 +69,7 @@
             state.recorder,
             self._make_heartbeat,
             self._take_heartbeat,
-            self._lose_peers,
+            self._remove_peers,
         )
         self._sharing = LimitSharing(
             state.name,
@@ -85,8 +85,8 @@
         state.listen_routes(self.heartbeats.send_soon)
 
     async def serve(self) -> None:
-        """Answer peers that ask for a snapshot, until cancelled."""
-        await trio.sleep(_SNAPSHOTS_AFTER)
+        """Serve snapshots to peers until cancelled."""
+        await trio.sleep(_SNAPSHOT_SERVER_DELAY)
         from magnoliacove.peers.snapshots import serve_snapshots
 
         await serve_snapshots(
@@ -105,7 +105,7 @@
         table = state.routes
         grants = self._sharing.issue_grants()
         if grants:
-            # Engines with a limit take further requests, as time goes by.
+            # Engines with a limit admit further requests as time passes.
             state.room.fill()
         return Heartbeat(
             name=state.name,
@@ -141,9 +141,9 @@
             grants=grants,
             quarantines=tuple(
                 ReportedQuarantine(
-                    one.fingerprint, one.round, one.seconds, age, one.crashes
+                    q.fingerprint, q.round, q.seconds, age, q.crashes
                 )
-                for one, age in state.quarantine.draw_told()
+                for q, age in state.quarantine.draw_told()
             ),
         )
 
@@ -158,16 +158,18 @@
         )
 
     def _list_holdings(self) -> list[tuple[str, float, Holding]]:
-        """Return what the duty's holder, or a refusal, told of engines.
+        """Return the engine statuses to report in a heartbeat.
 
-        Others each time where there are more than fit: a heartbeat that is
-        too long for one datagram is not sent, and its sender taken for gone.
+        The placement leader reports all fresh ones, the others those that a
+        refusal corrected.  If there are too many, a random sample is reported
+        each time: a heartbeat that is too long for one datagram is not sent,
+        and its sender is considered unreachable.
         """
         if self._is_acting():
             fresh = self._state.holdings.list_fresh()
-            if len(fresh) <= _MOST_HOLDINGS:
+            if len(fresh) <= _MAX_HOLDINGS:
                 return fresh
-            return self._state.rng.sample(fresh, _MOST_HOLDINGS)
+            return self._state.rng.sample(fresh, _MAX_HOLDINGS)
         return self._state.holdings.list_corrected()
 
     def _take_heartbeat(self, heartbeat: Heartbeat) -> None:
@@ -180,20 +182,21 @@
         state.unreported.take_others(
             heartbeat.name, heartbeat.recent, heartbeat.counted_for
         )
-        for found in heartbeat.suspicions:
-            if state.targets.find(found.target) is None:
-                # Gateways drop a target that is gone one after the other;
-                # the slower ones would bring the suspicion back for ever.
+        for suspicion in heartbeat.suspicions:
+            if state.targets.find(suspicion.target) is None:
+                # Gateways discard a removed target one after the other.  The
+                # slower ones would bring the suspicion back indefinitely.
                 continue
             state.health.suspect(
-                found.target,
-                found.why,
-                age=found.age,
+                suspicion.target,
+                suspicion.why,
+                age=suspicion.age,
                 source=heartbeat.name,
-                leaving=found.leaving,
+                leaving=suspicion.leaving,
             )
         for item in heartbeat.holdings:
-            # Whoever asks the engines learns first that one started again.
+            # The gateway that polls the engines is the first to detect that
+            # one restarted.
             state.targets.observe(*split_incarnation(item.target))
             state.holdings.note(item.target, item.holding, item.age)
         self._take_crashes(heartbeat)
@@ -205,35 +208,36 @@
             self._store.record_outage()
 
     def _take_crashes(self, heartbeat: Heartbeat) -> None:
-        """Take what a peer tells of requests that end targets."""
+        """Record what a peer reports about requests that crash targets."""
         state, now = self._state, trio.current_time()
         state.crashes.take_answered(heartbeat.name, heartbeat.answered)
-        for found in heartbeat.crashes:
-            if found.silent:
-                state.crashes.silent.note(found.run, own=False)
+        for crash in heartbeat.crashes:
+            if crash.silent:
+                state.crashes.silent.note(crash.run, own=False)
             else:
-                self._crashes.record_reported_crash(found.run, found.age)
-        for told in heartbeat.quarantines:
+                self._crashes.record_reported_crash(crash.run, crash.age)
+        for reported in heartbeat.quarantines:
             quarantine = Quarantine(
-                told.fingerprint,
-                told.round,
-                now - told.age,
-                told.seconds,
-                told.crashes,
+                reported.fingerprint,
+                reported.round,
+                now - reported.age,
+                reported.seconds,
+                reported.crashes,
             )
             state.quarantine.take(quarantine, heartbeat.name)
 
     def owns(self, fingerprint: str) -> bool:
-        """Return whether a request in quarantine is tried again here.
+        """Return whether this gateway retries a request in quarantine.
 
-        Of the gateways that hear each other one is, so that a request that
-        still ends targets costs one and not one for each gateway.
+        Among the gateways that reach each other only one does, so that a
+        request that still crashes targets costs one target and not one for
+        each gateway.
         """
         names = [peer.name for peer in self._list_live() if not peer.leaving]
         name = self._state.name
         return choose_owner(fingerprint, [name, *names]) == name
 
-    def _lose_peers(self, names: list[str]) -> None:
+    def _remove_peers(self, names: list[str]) -> None:
         self._state.crashes.forget_peers(names)
         self._state.loads.forget(names)
         self._state.budget.forget(names)
@@ -241,42 +245,44 @@
         self._sharing.lose(names)
 
     def announce_update(self) -> None:
-        """Tell the others at once, and try who waits for room."""
+        """Send a heartbeat at once and retry the requests in the queue."""
         self.heartbeats.send_soon()
         self._state.room.fill()
 
     def is_fallback_leader(self) -> bool:
-        """Return whether this gateway is to act while the store is away."""
+        """Return whether this gateway leads placement in a store outage."""
         peers = self._list_live()
         if not peers:
-            # It is more likely that this gateway is cut off from all
-            # others than that they are gone with the store.
+            # It is more likely that this gateway is partitioned from all
+            # others than that they are unreachable along with the store.
             return False
-        # Who leaves neither takes the lease nor acts, and its last word on
-        # the store may be old.
-        staying = [one for one in peers if not one.leaving]
-        if any(one.store_reachable or one.acting for one in staying):
+        # A gateway that is leaving neither takes the lease nor acts, and its
+        # last report about the store may be old.
+        staying = [peer for peer in peers if not peer.leaving]
+        if any(peer.store_reachable or peer.acting for peer in staying):
             return False
         return all(self._state.name < other.name for other in staying)
 
     def has_acting_peer(self) -> bool:
-        """Return whether a live peer does the placement duty."""
-        return any(one.acting and not one.leaving for one in self._list_live())
+        """Return whether a live, staying peer acts as placement leader."""
+        return any(
+            peer.acting and not peer.leaving for peer in self._list_live()
+        )
 
     def has_acting_peer_with_store(self) -> bool:
-        """Return whether a peer that reaches the store does the duty."""
+        """Return whether an acting placement leader reaches the store."""
         return any(
-            one.acting and one.store_reachable for one in self._list_live()
+            peer.acting and peer.store_reachable for peer in self._list_live()
         )
 
     def measure_store_outage(self) -> float:
-        """Return seconds since the store was lost, 0 while it answers."""
+        """Return seconds since the store became unreachable, else 0."""
         if self._store.reachable:
             return 0.0
         return trio.current_time() - self._store.unreachable_since
 
     def _list_live(self) -> list[Heartbeat]:
-        """Return the last heartbeats of the peers that were heard lately."""
+        """Return the last heartbeat of each live peer."""
         return [peer.heartbeat for peer in self.heartbeats.list_live()]
 
     def _make_snapshot(self) -> "PeerSnapshot":
@@ -289,47 +295,47 @@
         )
 
     async def catch_up(self) -> None:
-        """Take from a peer what the store does not give."""
+        """Fetch from a peer what the store does not provide."""
         while True:
-            await trio.sleep(_BEHIND / 2)
+            await trio.sleep(_CATCH_UP_DELAY / 2)
             peers = self._list_live()
             table = self._state.routes
             own = table.version if table else 0
             newest = max(
                 peers,
-                key=lambda one: one.configuration_version,
+                key=lambda peer: peer.configuration_version,
                 default=None,
             )
             away = self.measure_store_outage() > STORE_AWAY
-            better = [one for one in peers if one.store_reachable]
+            better = [peer for peer in peers if peer.store_reachable]
             now = trio.current_time()
             if newest and newest.configuration_version > own:
                 self._behind_since = self._behind_since or now
-                if now - self._behind_since >= _BEHIND:
-                    await self._ask(newest)
+                if now - self._behind_since >= _CATCH_UP_DELAY:
+                    await self._fetch_snapshot(newest)
                 continue
             self._behind_since = None
             if away and better:
-                await self._ask(self._state.rng.choice(better))
-                await trio.sleep(_BEHIND)
+                await self._fetch_snapshot(self._state.rng.choice(better))
+                await trio.sleep(_CATCH_UP_DELAY)
 
-    async def _ask(self, peer: Heartbeat) -> None:
+    async def _fetch_snapshot(self, peer: Heartbeat) -> None:
         from magnoliacove.peers.snapshots import ask_snapshot
 
-        found = await ask_snapshot(
+        snapshot = await ask_snapshot(
             wire.Address.parse(peer.address),
             self._state.name,
             self._network,
             self._state.recorder,
         )
-        if found is not None:
-            self._take_snapshot(found, peer.name)
+        if snapshot is not None:
+            self._take_snapshot(snapshot, peer.name)
 
-    def _take_snapshot(self, found: "PeerSnapshot", peer: str) -> None:
+    def _take_snapshot(self, snapshot: "PeerSnapshot", peer: str) -> None:
         source = f"the gateway {peer}"
-        if found.configuration:
-            self._store.apply_configuration(found.configuration, source)
-        if found.revision > self._state.targets.revision:
+        if snapshot.configuration:
+            self._store.apply_configuration(snapshot.configuration, source)
+        if snapshot.revision > self._state.targets.revision:
             self._state.targets.replace(
-                found.targets, found.revision, after_outage=False
+                snapshot.targets, snapshot.revision, after_outage=False
             )
