--- a/magnoliacove/gateway/process.py
+++ b/magnoliacove/gateway/process.py
@@ -1,4 +1,4 @@
-"""One gateway process, put together from its parts."""
+"""A gateway process, assembled from its parts."""
 
 import random
 import socket
@@ -46,30 +46,34 @@
 
 __all__ = ["Gateway"]
 
-# An entry that lapsed while the store was away is back about so many
-# seconds after the store; what is missing then is gone.
+# Seconds after an outage of the store within which an entry that expired
+# during the outage is written again.  A target without an entry after that is
+# removed.
 _LAPSE_GRACE = 2.0
-# An entry may also be missing since its target leaves, which must get nothing
-# once the bound for that is over.  So much of the bound, in seconds, goes by
-# until the removal is known here and a request that is on its way is there.
-_REMOVAL_KNOWN = 0.5
-# The balancer asks each second and takes an entry out after two misses, so
-# callers still come for so long after this process began to leave.
-_BALANCER_NOTICES = 2.6
-# What is left of the grace time for the last bytes and the log.
+# An entry may also be missing because its target is leaving, which must get no
+# request after the drain time.  Seconds of the drain time that pass until the
+# removal is known here and a request that is being sent has arrived.
+_REMOVAL_DELAY = 0.5
+# Seconds after this process begins to leave for which callers still connect:
+# the balancer probes each second and removes a gateway after two failures.
+_BALANCER_DELAY = 2.6
+# Seconds of the grace time reserved for the last bytes and the log.
 _STOP_RESERVE = 0.7
-_TIDY_EVERY = 1.0
+# Seconds between removals of expired state.
+_TIDY_INTERVAL = 1.0
 # Seconds after the start until metrics are served.
-_METERS_AFTER = 2.0
-# A store that was never reached is told as one lost so long ago, seconds.
-_MOST_SILENCE = 1e6
+_METERS_DELAY = 2.0
+# Maximum seconds in the metric of the store's outage, reported when the store
+# was never reached.
+_MAX_STORE_OUTAGE = 1e6
 
 
 class Gateway:
-    """Serves callers until it is told to leave.
+    """Serves callers until it is drained.
 
-    :param meters_port: where metrics are served, 0 for nowhere.
-    :param listener: what listens at the callers' address already, or None.
+    :param meters_port: port of the metrics, 0 to serve none.
+    :param listener: a socket that already listens at the callers' address, or
+        None.
     """
 
     def __init__(
@@ -88,10 +92,10 @@
         self.recorder = recorder
         rng = random.Random()
         bounds = settings.bounds
-        grace = min(_LAPSE_GRACE, bounds.drain - _REMOVAL_KNOWN)
+        grace = min(_LAPSE_GRACE, bounds.drain - _REMOVAL_DELAY)
         targets = TargetList(recorder, grace=max(0.0, grace))
         health, holdings = Health(recorder), Holdings()
-        loads, unheard = limits.LoadBook(), limits.UnheardRequests()
+        loads, unreported = limits.LoadBook(), limits.UnheardRequests()
         backpressure = BackpressureBook(recorder)
         grants = GrantBook(settings.name)
         permits = Permits(backpressure, grants)
@@ -105,7 +109,7 @@
             health=health,
             holdings=holdings,
             loads=loads,
-            unreported=unheard,
+            unreported=unreported,
             budget=limits.SharedRetryBudget(
                 bounds.retry_ratio, bounds.retry_slack, bounds.retry_window
             ),
@@ -117,7 +121,7 @@
                 health,
                 holdings,
                 loads,
-                unheard,
+                unreported,
                 permits,
                 rng,
             ),
@@ -179,7 +183,7 @@
             lease,
             recorder,
         )
-        self._duty = duty.PlacementDuty(
+        self._placement = duty.PlacementDuty(
             duty.DutySources(
                 targets=targets,
                 health=health,
@@ -209,7 +213,7 @@
                 "heartbeats": self._peers.heartbeats.run,
                 "store": self._store.run,
                 "snapshots": self._peers.serve,
-                "placement": self._duty.run,
+                "placement": self._placement.run,
                 "stalls": self._stalls.run,
                 "crashes": self._crashes.run,
                 "quarantines": self._quarantines.run,
@@ -231,7 +235,7 @@
             )
 
     async def drain(self) -> None:
-        """Take no new callers and return once all are answered."""
+        """Accept no new callers and return once all are answered."""
         state = self.state
         state.leaving = True
         began = trio.current_time()
@@ -240,12 +244,12 @@
         await self._leadership.release()
         limit = began + self._settings.bounds.grace - _STOP_RESERVE
         while trio.current_time() < limit:
-            noticed = trio.current_time() - began >= _BALANCER_NOTICES
+            noticed = trio.current_time() - began >= _BALANCER_DELAY
             if noticed:
                 # A balancer without another gateway in this data centre
-                # goes on sending callers here.  One that is refused tries
-                # elsewhere; one that is taken now would be cut off when the
-                # grace time ends.
+                # continues to send callers here.  A caller that is refused
+                # tries elsewhere, while one that is accepted now would be cut
+                # off at the end of the grace time.
                 self._accepting.cancel()
                 for connection in tuple(self._connections):
                     connection.close_if_idle()
@@ -259,16 +263,16 @@
         )
 
     def reload(self, settings: NodeSettings) -> None:
-        """Take changed settings, as far as they can change in place."""
+        """Apply changed settings, as far as they can change in place."""
         fixed = (settings.name, settings.callers, settings.peer_port)
-        known = self._settings
-        changed = fixed != (known.name, known.callers, known.peer_port)
+        old = self._settings
+        changed = fixed != (old.name, old.callers, old.peer_port)
         for seed in settings.seeds:
             self._peers.heartbeats.add_address(seed)
         self._settings = settings
         self.recorder.record(
             "reloaded",
-            why="a name or an address differs; it counts from the next start"
+            why="a name or an address changed; it applies after a restart"
             if changed
             else "",
         )
@@ -282,7 +286,7 @@
                 await trio.serve_listeners(
                     self._serve_caller, [listener], handler_nursery=nursery
                 )
-            # It stopped listening for good; what is open goes on.
+            # The gateway no longer listens.  Open connections continue.
             await trio.sleep_forever()
 
     async def _serve_caller(self, stream: trio.SocketStream) -> None:
@@ -296,11 +300,11 @@
         self._connections.add(connection)
         try:
             await connection.run()
-        except Exception as why:
-            # One caller's connection must not end all others.
+        except Exception as error:
+            # A fault in one caller's connection must not end all others.
             self.recorder.record(
                 "connection-failed",
-                why=repr(why),
+                why=repr(error),
                 traceback=traceback.format_exc(),
             )
         finally:
@@ -323,8 +327,8 @@
     async def _serve_meters(self) -> None:
         if not self._meters_port:
             await trio.sleep_forever()
-        # What answers callers starts first.
-        await trio.sleep(_METERS_AFTER)
+        # The tasks that serve callers start first.
+        await trio.sleep(_METERS_DELAY)
         listener = bind_socket(self._settings.host, self._meters_port)
         await serve_meters(self.state.meters, listener)
 
@@ -350,23 +354,23 @@
     async def _tidy(self) -> None:
         state = self.state
         while True:
-            await trio.sleep(_TIDY_EVERY)
+            await trio.sleep(_TIDY_INTERVAL)
             state.targets.expire()
-            known = {target.name for target in state.targets.list_all()}
-            state.health.forget(known)
-            state.holdings.forget(known)
-            state.candidates.forget(known)
-            state.backpressure.forget(known)
-            state.permits.forget(known)
-            self._stalls.forget(known)
+            listed = {target.name for target in state.targets.list_all()}
+            state.health.forget(listed)
+            state.holdings.forget(listed)
+            state.candidates.forget(listed)
+            state.backpressure.forget(listed)
+            state.permits.forget(listed)
+            self._stalls.forget(listed)
             self._crashes.forget()
-            await state.pool.close_expired(known)
+            await state.pool.close_expired(listed)
 
     def _read_gauges(self) -> dict[str, float]:
         return {
             **read_gauges(self.state),
             "store_silence_seconds": min(
-                _MOST_SILENCE, self._peers.measure_store_outage()
+                _MAX_STORE_OUTAGE, self._peers.measure_store_outage()
             ),
             "store_era": self._store.era.number,
             "store_calls": getattr(self._api, "calls", 0),
@@ -380,9 +384,9 @@
 def _listen(
     address: wire.Address, listener: socket.socket | None = None
 ) -> trio.SocketListener:
-    """Return what listens at an address.
+    """Return a listener at an address.
 
-    :param listener: taken if it is bound to the address, else closed: the
+    :param listener: used if it is bound to the address, else closed: then the
         settings name another address than the process was started with.
     """
     wanted = (address.host, address.port)
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -84,7 +84,7 @@
     answered in full; later connections are refused, so that their callers
     go elsewhere instead of being cut off at the end of the grace time.
     """
-    monkeypatch.setattr(process, "_BALANCER_NOTICES", 0.4)
+    monkeypatch.setattr(process, "_BALANCER_DELAY", 0.4)
     slow = stubs.answer_with(stubs.make_answer(b"ok"), after=1.0)
     gateway, ports = await _start(nursery, tmp_path, slow)
     answers = []
