--- a/magnoliacove/gateway/engine_checks.py
+++ b/magnoliacove/gateway/engine_checks.py
@@ -1,8 +1,8 @@
-"""Finding out whether an engine lives, and whether it is as believed.
+"""Checks whether an engine is alive and in the recorded state.
 
-A lost engine is noticed first by what it breaks: streams that fall silent,
-requests that another engine refuses in its name.  Asking the engine itself
-tells in a few milliseconds, long before its entry lapses.
+A failed engine first shows by its effects: streams that stall, and requests
+that another engine refuses because of it.  A report requested from the engine
+itself confirms this within a few milliseconds, long before its entry expires.
 """
 
 from collections.abc import Callable
@@ -19,59 +19,61 @@
 
 __all__ = ["EngineChecks"]
 
-# Reports come within 10 ms.  A second question on a connection of its own
-# goes out after half of this, so that one lost packet, which is sent again
-# after 200 ms, makes no sound engine look lost.
+# Seconds until a report times out.  Reports come within 10 ms.  A second
+# request for it is sent on a new connection after half of this time, so that a
+# lost packet, which is retransmitted after 200 ms, does not make a healthy
+# engine look failed.
 _REPORT_TIMEOUT = 0.2
-# An engine that refuses is asked again after so long at the earliest.
-_ASK_AGAIN = 0.4
+# Minimum seconds between two checks of an engine that refuses requests.
+_MIN_CHECK_INTERVAL = 0.4
+# Seconds until a health check times out.
 _HEALTH_TIMEOUT = 0.35
-# An engine that is another one than it was taken for, or does not hold the
-# layers that it was to run.
-_NOT_AS_BELIEVED = 421
+# The status of an engine that is another incarnation than expected, or has not
+# loaded the layers that it was to run.
+_MISDIRECTED = 421
 
 
 class EngineChecks:
-    """Asks engines, and corrects what is believed of them.
+    """Checks engines and corrects their recorded state.
 
-    :param tell: called when a belief that the peers share was wrong.
+    :param announce: called when state that the peers share was corrected.
     """
 
     def __init__(
         self,
         state: GatewayState,
         calls: EngineCalls,
-        tell: Callable[[], None],
+        announce: Callable[[], None],
     ) -> None:
         self._state = state
         self._calls = calls
-        self._tell = tell
-        self._checked: dict[str, float] = {}
+        self._announce = announce
+        self._checked_at: dict[str, float] = {}
 
     async def read_report(
         self, target: ListedTarget, why: str
     ) -> EngineReport | None:
-        """Return an engine's report; suspect it when it gives none.
+        """Return an engine's report; suspect the engine if none arrives.
 
-        :param why: what made somebody ask.
-        :returns: None as well when the engine wants no questions now.
+        :param why: the reason for the check, for the log.
+        :returns: None also when the engine may not be called now.
         """
         if not self._state.permits.try_call(target.name):
             await self._check_reachable(target, why)
             return None
         began = trio.current_time()
-        found: list[EngineReport] = []
+        reports: list[EngineReport] = []
 
-        async def ask(delay: float, scope: trio.CancelScope) -> None:
+        async def fetch(delay: float, scope: trio.CancelScope) -> None:
             await trio.sleep(delay)
             if delay and not self._state.permits.try_call(target.name):
                 return
             try:
-                found.append(
+                reports.append(
                     await self._calls.read_report(target, fresh=delay > 0)
                 )
             except TargetError:
-                # The other question may still be answered; without any
+                # The other request may still be answered.  Without any
                 # answer the engine is suspected below.
                 return
             scope.cancel()
@@ -79,9 +81,9 @@
         with trio.move_on_after(_REPORT_TIMEOUT):
             async with trio.open_nursery() as nursery:
                 for delay in (0.0, _REPORT_TIMEOUT / 2):
-                    nursery.start_soon(ask, delay, nursery.cancel_scope)
-        if found:
-            return found[0]
+                    nursery.start_soon(fetch, delay, nursery.cancel_scope)
+        if reports:
+            return reports[0]
         if not was_held_up(began, _REPORT_TIMEOUT):
             self._state.health.suspect(
                 target.name, f"{why}, and it gives no report"
@@ -89,9 +91,9 @@
         return None
 
     async def _check_reachable(self, target: ListedTarget, why: str) -> None:
-        """Suspect an engine that takes no connection.
+        """Suspect an engine that accepts no connection.
 
-        It may not be asked anything, but one that is gone refuses at once.
+        The engine may not be called, but one that ended refuses at once.
         """
         if not await self._calls.is_reachable(target):
             self._state.health.suspect(
@@ -101,27 +103,29 @@
     async def check_refusal(
         self, target: ListedTarget, status: int, health_path: str
     ) -> None:
-        """Find out why an engine refused a request, or was named for it.
+        """Check why an engine refused a request or was named in a refusal.
 
-        Else each request learns by itself that a path is wrong, and takes it
-        again: an engine that has started again refuses hundreds, and many of
-        them end with that.  Of an engine that fell silent the first refusal
-        tells, long before its reports are missed.
+        Without the check each request detects a wrong path on its own and
+        then takes it again: an engine that restarted refuses hundreds of
+        requests, and many of them fail.  The first refusal also reveals an
+        unresponsive engine, long before its missing reports do.
         """
         now = trio.current_time()
-        if now - self._checked.get(target.name, -1.0) < _ASK_AGAIN:
+        if now - self._checked_at.get(target.name, -1.0) < _MIN_CHECK_INTERVAL:
             return
-        self._checked[target.name] = now
+        self._checked_at[target.name] = now
         report = await self.read_report(target, f"it refused with {status}")
         if report is None:
             return
-        if status == _NOT_AS_BELIEVED:
-            self._correct(target, report)
+        if status == _MISDIRECTED:
+            self._correct_status(target, report)
             return
         await self._check_leaving(target, health_path)
 
-    def _correct(self, target: ListedTarget, report: EngineReport) -> None:
-        """Take an engine's own word for what it holds."""
+    def _correct_status(
+        self, target: ListedTarget, report: EngineReport
+    ) -> None:
+        """Replace the recorded status of an engine by its report."""
         state = self._state
         holding = Holding(
             report.layers, report.loading, report.slowness, report.used
@@ -134,19 +138,19 @@
         state.recorder.record(
             "holding-corrected",
             target=target.name,
-            why="it refused a request for layers that it was to hold",
+            why="it refused a request for layers recorded as loaded",
             layers=str(report.layers),
             loading=report.loading,
         )
         state.room.fill()
-        self._tell()
+        self._announce()
 
     async def _check_leaving(
         self, target: ListedTarget, health_path: str
     ) -> None:
-        """Find out whether an engine leaves.
+        """Check whether an engine is leaving.
 
-        Its entry says so, but not while the store is away; and each
+        Its entry shows that, but not during an outage of the store, and each
         request that is sent there meanwhile is refused.
         """
         if not self._state.permits.try_call(target.name):
@@ -159,12 +163,12 @@
                         "its health check says that it leaves",
                         leaving=True,
                     )
-            except TargetError as why:
+            except TargetError as error:
                 self._state.health.suspect(
-                    target.name, f"no health check: {why}"
+                    target.name, f"no health check: {error}"
                 )
 
     def forget(self, known: set[str]) -> None:
-        """Drop what is known of targets that no longer exist."""
-        for name in set(self._checked) - known:
-            del self._checked[name]
+        """Discard the state of targets that no longer exist."""
+        for name in set(self._checked_at) - known:
+            del self._checked_at[name]
