--- a/magnoliacove/gateway/limit_sharing.py
+++ b/magnoliacove/gateway/limit_sharing.py
@@ -1,4 +1,4 @@
-"""How the gateways share the limits that targets name."""
+"""Sharing of the rate limits of targets among the gateways."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -17,54 +17,57 @@
 
 __all__ = ["LivePeer", "LimitSharing", "PeerLimits"]
 
-# A gateway keeps limits once it has counted its requests for so long, in
-# seconds.  By then it has heard all others, and they have heard it.
-_SETTLED = 2.0
-# Who may keep limits is looked at so often, in seconds: hundreds of gateways
-# are heard dozens of times a second.
-_LOOK_EVERY = 0.1
+# Seconds for which a gateway must have counted its requests before it may
+# divide limits.  By then it has received a heartbeat from all others, and they
+# have received one from it.
+_MIN_COUNTED_TIME = 2.0
+# Seconds between checks of which gateways may divide limits, since heartbeats
+# of hundreds of gateways arrive dozens of times a second.
+_CHECK_INTERVAL = 0.1
 
 
 class PeerLimits(Protocol):
-    """What another gateway's heartbeat tells of limits."""
+    """The part of another gateway's heartbeat that concerns limits."""
 
     @property
     def name(self) -> str:
-        """The other gateway."""
+        """The name of the other gateway."""
 
     @property
     def leaving(self) -> bool:
-        """Whether it is about to stop."""
+        """Whether the gateway is about to stop."""
 
     @property
     def counted_for(self) -> float:
-        """Seconds for which it has counted its requests."""
+        """Seconds for which the gateway has counted its requests."""
 
     @property
     def limits(self) -> Iterable[ToldLimit]:
-        """What targets said to it."""
+        """The limits that targets reported to the gateway."""
 
     @property
     def grants(self) -> Iterable[Grant]:
-        """The parts that it hands out."""
+        """The parts of limits that the gateway issues."""
 
 
 class LivePeer(Protocol):
-    """Another gateway, as last heard."""
+    """Another gateway with its last heartbeat."""
 
     @property
     def heartbeat(self) -> PeerLimits:
-        """What it told then."""
+        """The last heartbeat."""
 
     @property
     def heard_at(self) -> float:
-        """When that was."""
+        """When the heartbeat was received."""
 
 
 class LimitSharing:
-    """Takes part in keeping targets' limits, for one gateway.
+    """Shares the limits of targets with the other gateways, for one gateway.
 
-    :param list_live: returns the gateways that are heard.
+    One gateway, the keeper of a limit, divides it and issues the parts.
+
+    :param list_live: returns the live gateways.
     """
 
     def __init__(
@@ -86,86 +89,95 @@
         self._list_live = list_live
         self._is_leaving = is_leaving
         self._read_time = read_time
-        self._made: tuple[Grant, ...] = ()
+        self._issued: tuple[Grant, ...] = ()
         self._keepers: dict[str, str] = {}
-        self._limited: frozenset[str] = frozenset()
+        self._limited_targets: frozenset[str] = frozenset()
         self._chosen_for: tuple[frozenset[str], tuple[str, ...]] | None = None
-        self._look_at = 0.0
+        self._next_check_at = 0.0
 
     def issue_grants(self) -> tuple[Grant, ...]:
-        """Return the parts of the limits that this gateway keeps."""
+        """Issue and return the parts of the limits that this gateway keeps."""
         limits = self._book.list_limits()
-        self._renew()
+        self._refresh()
         if not limits:
-            # Most heartbeats are made while no target is in need.
-            self._made = ()
+            # Most heartbeats are made while no target has a limit.
+            self._issued = ()
             return ()
         staying = [
-            one.heartbeat.name
-            for one in self._list_live()
-            if not one.heartbeat.leaving
+            peer.heartbeat.name
+            for peer in self._list_live()
+            if not peer.heartbeat.leaving
         ]
         if not self._is_leaving():
             staying.append(self._name)
-        made: list[Grant] = []
+        issued: list[Grant] = []
         for target, keeper in self._keepers.items():
             if keeper == self._name:
                 paces = self._read_paces(target, staying)
-                present = {
+                holders = {
                     grant.gateway
-                    for grant in self._made
+                    for grant in self._issued
                     if grant.target == target
                 }
-                made += divide_limit(target, limits[target], paces, present)
-        self._made = tuple(made)
-        self._grants.take(self._name, made)
+                issued += divide_limit(target, limits[target], paces, holders)
+        self._issued = tuple(issued)
+        self._grants.take(self._name, issued)
         self._grants.renew(self._keepers)
-        return self._made
+        return self._issued
 
-    def take(self, news: PeerLimits) -> None:
-        """Take what another gateway tells."""
-        self._book.take_told(news.name, news.limits)
-        self._grants.take(news.name, news.grants)
-        self._renew()
+    def take(self, update: PeerLimits) -> None:
+        """Record the limits and grants that another gateway reports."""
+        self._book.take_told(update.name, update.limits)
+        self._grants.take(update.name, update.grants)
+        self._refresh()
 
-    def lose(self, gateways: Iterable[str]) -> None:
-        """Take it that other gateways are gone."""
+    def remove_peers(self, gateways: Iterable[str]) -> None:
+        """Discard the grants of gateways that are unreachable."""
         self._grants.forget(gateways)
-        self._look_at = 0.0
-        self._renew()
+        self._next_check_at = 0.0
+        self._refresh()
 
-    def _renew(self) -> None:
-        """Find out who keeps each limit now, and go by what it grants."""
-        limited = frozenset(self._book.list_limits())
+    def _refresh(self) -> None:
+        """Update the keeper of each limit and apply the grants it issues."""
+        limited_targets = frozenset(self._book.list_limits())
         now = self._read_time()
-        if limited != self._limited or now >= self._look_at:
-            self._limited = limited
-            self._look_at = now + _LOOK_EVERY
+        if (
+            limited_targets != self._limited_targets
+            or now >= self._next_check_at
+        ):
+            self._limited_targets = limited_targets
+            self._next_check_at = now + _CHECK_INTERVAL
             self._choose_keepers()
         self._grants.renew(self._keepers)
 
     def _choose_keepers(self) -> None:
-        """Choose anew where other gateways may keep limits than before."""
-        limited = self._limited
-        gateways = tuple(sorted(self._list_settled())) if limited else ()
-        if (limited, gateways) != self._chosen_for:
-            self._chosen_for = (limited, gateways)
+        """Choose keepers again if the limits or the gateways changed."""
+        limited_targets = self._limited_targets
+        gateways = (
+            tuple(sorted(self._list_eligible())) if limited_targets else ()
+        )
+        if (limited_targets, gateways) != self._chosen_for:
+            self._chosen_for = (limited_targets, gateways)
             self._keepers = {
                 target: choose_owner(target, gateways)
-                for target in limited
+                for target in limited_targets
                 if gateways
             }
 
-    def _list_settled(self) -> Iterable[str]:
+    def _list_eligible(self) -> Iterable[str]:
         """Return the gateways that may keep limits."""
         now = self._read_time()
-        for one in self._list_live():
-            # What it told is old; taken for now, gateways that started
-            # together would each miss others, and hand out a limit twice.
-            counted_for = one.heartbeat.counted_for + now - one.heard_at
-            if not one.heartbeat.leaving and counted_for >= _SETTLED:
-                yield one.heartbeat.name
-        if not self._is_leaving() and self._unheard.counted_for >= _SETTLED:
+        for peer in self._list_live():
+            # The reported value has aged since it was received.  Without the
+            # correction, gateways that started together would each miss
+            # others and issue a limit twice.
+            counted_for = peer.heartbeat.counted_for + now - peer.heard_at
+            if not peer.heartbeat.leaving and counted_for >= _MIN_COUNTED_TIME:
+                yield peer.heartbeat.name
+        if (
+            not self._is_leaving()
+            and self._unheard.counted_for >= _MIN_COUNTED_TIME
+        ):
             yield self._name
 
     def _read_paces(
--- a/magnoliacove/gateway/peering.py
+++ b/magnoliacove/gateway/peering.py
@@ -242,7 +242,7 @@
         self._state.loads.forget(names)
         self._state.budget.forget(names)
         self._state.unreported.forget(names)
-        self._sharing.lose(names)
+        self._sharing.remove_peers(names)
 
     def announce_update(self) -> None:
         """Send a heartbeat at once and retry the requests in the queue."""
--- a/magnoliacove/gateway/process.py
+++ b/magnoliacove/gateway/process.py
@@ -143,7 +143,7 @@
             self._calls,
             lambda: self._peers.heartbeats.send_soon(),
             self._quarantines.save,
-            self._quarantines.look,
+            self._quarantines.request_read,
         )
         self._store = StoreFollower(
             self.state,
--- a/magnoliacove/gateway/quarantine_records.py
+++ b/magnoliacove/gateway/quarantine_records.py
@@ -1,9 +1,10 @@
 """Quarantines in the platform's store, which outlive all gateways.
 
-Gateways tell each other of quarantines, but when all are killed at once those
-that start know nothing.  Each quarantine is one object; the store is read at
-the start and when a target ended under a request of this gateway's, so one
-that hears no peer learns of it with the first target that it costs.
+Gateways share quarantines in heartbeats, but if all are killed at once, those
+that start have none.  Each quarantine is one object.  The store is read at the
+start and when a target ended while it ran a request of this gateway.  A
+gateway that reaches no peer therefore reads a quarantine after the first
+target that it loses to the request.
 """
 
 from collections import OrderedDict
@@ -27,26 +28,27 @@
 __all__ = ["QuarantineRecords", "read_record", "write_record"]
 
 KIND = "quarantines"
-# Pauses after a call that the store did not answer, in seconds.
-_RETRY_FIRST = 0.2
-_RETRY_MOST = 2.0
-# The store is read again this long after it was read last at the earliest,
-# seconds: many targets may end within one.
-_READ_AGAIN = 1.0
-# Quarantines that wait to be written while the store is away.
-_MOST_WAITING = 64
-# Objects that are deleted after one reading, since their time is over.
-_MOST_DELETED = 8
+# Seconds between attempts after a call that the store did not answer.
+_INITIAL_RETRY_DELAY = 0.2
+_MAX_RETRY_DELAY = 2.0
+# Minimum seconds between two reads of the store, since many targets may end
+# within one second.
+_MIN_READ_INTERVAL = 1.0
+# Maximum number of quarantines that wait to be written during an outage of the
+# store.
+_MAX_PENDING = 64
+# Maximum number of obsolete objects that are deleted after one read.
+_MAX_DELETIONS = 8
 _MS = 1000
 _FINGERPRINT = re.compile(r"[0-9a-f]{16}")
-# Heartbeats count with 32 bits.
-_MOST_COUNTED = 2**31
+# Maximum count; counts in heartbeats have 32 bits.
+_MAX_COUNT = 2**31
 
 
 class QuarantineRecords:
     """Writes this gateway's quarantines and reads those of all others.
 
-    :param book: what it reads goes there.
+    :param book: receives the quarantines that are read.
     """
 
     def __init__(
@@ -58,121 +60,125 @@
         self._api = api
         self._book = book
         self._recorder = recorder
-        self._waiting: OrderedDict[str, Quarantine] = OrderedDict()
+        self._pending: OrderedDict[str, Quarantine] = OrderedDict()
         self._changed = trio.Event()
-        self._look = True
+        self._read_requested = True
         self._read_at = -math.inf
-        # Whether the store may have lost what this gateway wrote.
+        # Whether the store may have lost quarantines that were written to it.
         self._restored = False
-        api.era.listen(self._note_restored)
+        api.era.listen(self._handle_restore)
 
     def save(self, quarantine: Quarantine) -> None:
-        """Write a quarantine, or that it is over, as soon as possible."""
-        self._waiting[quarantine.fingerprint] = quarantine
-        if len(self._waiting) > _MOST_WAITING:
-            self._waiting.popitem(last=False)
+        """Write a quarantine, or its end, as soon as possible."""
+        self._pending[quarantine.fingerprint] = quarantine
+        if len(self._pending) > _MAX_PENDING:
+            self._pending.popitem(last=False)
         self._changed.set()
 
-    def look(self) -> None:
-        """Read what the others wrote, soon."""
-        self._look = True
+    def request_read(self) -> None:
+        """Request a read of what the other gateways wrote."""
+        self._read_requested = True
         self._changed.set()
 
-    def _note_restored(self, era: int, source: str) -> None:
-        """Take it that the store came back from a copy."""
+    def _handle_restore(self, era: int, source: str) -> None:
+        """Handle that the store was restored from an older snapshot."""
         self._restored = True
-        self.look()
+        self.request_read()
 
     async def run(self) -> None:
         """Write and read until cancelled."""
-        backoff = Backoff(_RETRY_FIRST, _RETRY_MOST)
+        backoff = Backoff(_INITIAL_RETRY_DELAY, _MAX_RETRY_DELAY)
         while True:
             try:
-                await self._write_waiting()
-                if self._read_wait() <= 0.0:
+                await self._write_pending()
+                if self._get_read_delay() <= 0.0:
                     await self._read()
-                if self._waiting:
+                if self._pending:
                     continue
-            except (errors.PlatformError, platform.VersionConflictError) as e:
-                # The gateways that live know it; it is tried again.
-                self._recorder.record("quarantine-not-stored", why=str(e))
+            except (
+                errors.PlatformError,
+                platform.VersionConflictError,
+            ) as error:
+                # The live gateways have the quarantine, and the write is
+                # retried.
+                self._recorder.record("quarantine-not-stored", why=str(error))
                 await backoff.pause()
                 continue
             backoff.reset()
-            with trio.move_on_after(self._read_wait()):
+            with trio.move_on_after(self._get_read_delay()):
                 await self._changed.wait()
             self._changed = trio.Event()
 
-    def _read_wait(self) -> float:
-        """Return seconds until the store is to be read, perhaps infinite."""
-        if not self._look:
+    def _get_read_delay(self) -> float:
+        """Return seconds until the next read, infinity if none is due."""
+        if not self._read_requested:
             return math.inf
-        return self._read_at + _READ_AGAIN - trio.current_time()
+        return self._read_at + _MIN_READ_INTERVAL - trio.current_time()
 
-    async def _write_waiting(self) -> None:
-        while self._waiting:
-            fingerprint, quarantine = next(iter(self._waiting.items()))
+    async def _write_pending(self) -> None:
+        while self._pending:
+            fingerprint, quarantine = next(iter(self._pending.items()))
             name = f"{KIND}/{fingerprint}"
             if quarantine.in_force:
                 await self._api.put(name, write_record(quarantine))
             else:
                 await self._api.delete(name)
-            if self._waiting.get(fingerprint) is quarantine:
-                del self._waiting[fingerprint]
+            if self._pending.get(fingerprint) is quarantine:
+                del self._pending[fingerprint]
 
     async def _read(self) -> None:
-        self._look = False
+        self._read_requested = False
         self._read_at = trio.current_time()
         try:
             listing = await self._api.list_records(f"{KIND}/")
         except errors.PlatformError:
-            self._look = True
+            self._read_requested = True
             raise
-        over = []
+        obsolete = []
         for record in listing.records:
-            found = read_record(record)
-            if found is None or found.forgotten_at <= trio.current_time():
-                over.append(record)
+            entry = read_record(record)
+            if entry is None or entry.forgotten_at <= trio.current_time():
+                obsolete.append(record)
                 continue
-            self._book.take(found, "the platform's store")
+            self._book.take(entry, "the platform's store")
         if self._restored:
             self._restored = False
-            self._write_again(listing.records)
-        for record in over[:_MOST_DELETED]:
+            self._rewrite_missing(listing.records)
+        for record in obsolete[:_MAX_DELETIONS]:
             with contextlib.suppress(platform.VersionConflictError):
                 # Another gateway deleted it, or wrote a newer one.
                 await self._api.delete(record.name, record.version)
 
-    def _write_again(self, records: Iterable[platform.Record]) -> None:
-        """Write the quarantines that a copy of the store lacks.
+    def _rewrite_missing(self, records: Iterable[platform.Record]) -> None:
+        """Write the quarantines that the restored store lacks.
 
-        Else a request that ended targets would be taken for a new one by the
-        gateways that start after all were killed.  Of the gateways that know
-        it one writes.
+        Otherwise gateways that start after all were killed would treat a
+        request that crashes targets as a new one.  Only one of the gateways
+        that have the quarantine writes it.
         """
         stored = {}
         for record in records:
-            found = read_record(record)
-            if found is not None:
-                stored[found.fingerprint] = found.round
-        for known in self._book.list_own():
-            if stored.get(known.fingerprint, 0) < known.round:
-                self.save(known)
+            entry = read_record(record)
+            if entry is not None:
+                stored[entry.fingerprint] = entry.round
+        for own in self._book.list_own():
+            if stored.get(own.fingerprint, 0) < own.round:
+                self.save(own)
 
 
 def write_record(quarantine: Quarantine) -> bytes:
-    """Return the object of a quarantine.
+    """Return the stored form of a quarantine.
 
-    Its end is a time of day, since no other clock outlives the process; a
-    clock that is off by seconds moves the end by as much.
+    The end is stored as wall-clock time, since no other clock outlives the
+    process.  A clock that is off by seconds shifts the end by as much.
     """
-    left = quarantine.until - trio.current_time()
+    remaining = quarantine.until - trio.current_time()
     return orjson.dumps(
         {
             "round": quarantine.round,
             "seconds": quarantine.seconds,
             "crashes": quarantine.crashes,
-            "until_ms": int((time.time() + left) * _MS),
+            "until_ms": int((time.time() + remaining) * _MS),
         }
     )
 
@@ -180,8 +186,9 @@
 def read_record(record: platform.Record) -> Quarantine | None:
     """Return the quarantine that an object holds, None when it holds none.
 
-    Another writer's object keeps no request away, and what does not fit into
-    a heartbeat would keep this gateway from sending any.
+    An invalid object of another writer must not block a request, and a value
+    that does not fit into a heartbeat would prevent this gateway from sending
+    any.
     """
     fingerprint = record.name.partition("/")[2]
     try:
@@ -192,11 +199,11 @@
         return None
     if not _FINGERPRINT.fullmatch(fingerprint):
         return None
-    if not (0.0 < seconds <= LONGEST and 0 < number <= _MOST_COUNTED):
+    if not (0.0 < seconds <= LONGEST and 0 < number <= _MAX_COUNT):
         return None
-    if not (0 <= crashes <= _MOST_COUNTED and math.isfinite(until)):
+    if not (0 <= crashes <= _MAX_COUNT and math.isfinite(until)):
         return None
-    # A clock that jumped must not make it last for longer.
+    # A clock that jumped must not extend the quarantine.
     age = seconds - min(until / _MS - time.time(), seconds)
     return Quarantine(
         fingerprint, number, trio.current_time() - age, seconds, crashes
--- a/tests/gateway/test_quarantine_records.py
+++ b/tests/gateway/test_quarantine_records.py
@@ -76,7 +76,7 @@
     assert alone.admit(_BAD) == 0.0
     calls = store.counts["list"]
     for _ in range(50):
-        its_records.look()
+        its_records.request_read()
         await trio.sleep(0.01)
     assert alone.admit(_BAD) > 0.0
     assert store.counts["list"] - calls <= 2
