--- a/magnoliacove/gateway/gauges.py
+++ b/magnoliacove/gateway/gauges.py
@@ -1,4 +1,4 @@
-"""What a gateway's metrics tell of its beliefs."""
+"""The gauges of a gateway that are computed from its state."""
 
 import trio
 
@@ -8,7 +8,7 @@
 
 
 def read_gauges(state: GatewayState) -> dict[str, float]:
-    """Return the present value of each gauge that follows from the state."""
+    """Return the current value of each gauge."""
     table = state.routes
     return {
         "configuration_version": table.version if table else 0,
--- a/magnoliacove/gateway/notices.py
+++ b/magnoliacove/gateway/notices.py
@@ -1,4 +1,4 @@
-"""Hearing what targets say of themselves, in whatever they answer."""
+"""Handling of the notices that targets attach to their answers."""
 
 from magnoliacove.directory.health import Health
 from magnoliacove.gateway.channels import Answer
@@ -8,21 +8,22 @@
 
 __all__ = ["make_notice_handler"]
 
-# Another target may have the address by now, and says nothing of this one.
-_NOT_THE_TARGET = 421
+# The status of a target that is not the addressed one.  Another target may
+# have the address by now, and its answer does not concern this one.
+_MISDIRECTED = 421
 
 
 def make_notice_handler(book: BackpressureBook, health: Health) -> Hear:
-    """Return what is told of each answer: to requests, reports, orders.
+    """Return a handler for each answer to a request, report or order.
 
-    :param health: what the other gateways hear too.
+    :param health: suspicions, which are shared with the other gateways.
     """
 
-    def hear(target: str, answer: Answer, path: str, request: str) -> None:
+    def handle(target: str, answer: Answer, path: str, request: str) -> None:
         notice = read_notice(answer.status, answer.headers)
-        ends_limit = bool(request) and answer.status != _NOT_THE_TARGET
+        ends_limit = bool(request) and answer.status != _MISDIRECTED
         book.take(target, notice, path, ends_limit=ends_limit)
         if notice.leaving:
             health.suspect(target, "it says that it leaves", leaving=True)
 
-    return hear
+    return handle
--- a/magnoliacove/gateway/relay.py
+++ b/magnoliacove/gateway/relay.py
@@ -80,7 +80,7 @@
         self, exchange: Exchange, marks: headers.CallerMarks
     ) -> _Outcome:
         try:
-            await self._state.wait_routes(_NOT_READY_PATIENCE)
+            await self._state.wait_for_routes(_NOT_READY_PATIENCE)
             routed = self._route(exchange, marks)
             await self._run(exchange, routed)
         except errors.RequestError as why:
--- a/magnoliacove/gateway/state.py
+++ b/magnoliacove/gateway/state.py
@@ -1,4 +1,4 @@
-"""What the parts of one gateway share."""
+"""The state that the parts of a gateway share."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -31,11 +31,11 @@
 
 @dataclass
 class GatewayState:
-    """The beliefs and the tools of one gateway.
+    """The shared state and services of one gateway.
 
     :param routes: the configuration in force, None before the first.
-    :param seen_traffic: whether a caller's request has come yet.
-    :param open_requests: requests that are being answered.
+    :param seen_traffic: whether a caller's request has arrived yet.
+    :param open_requests: number of requests in progress.
     """
 
     name: str
@@ -64,31 +64,32 @@
     open_requests: int = 0
     _gaps: dict[str, GapClock] = field(default_factory=dict)
     _route_listeners: list[Callable[[], None]] = field(default_factory=list)
-    _routes_known: trio.Event = field(default_factory=trio.Event)
+    _routes_applied: trio.Event = field(default_factory=trio.Event)
 
     def get_gap_clock(self, service: str) -> GapClock:
-        """Return what is known of the gaps in a model's layers."""
+        """Return the clock of the gaps in a model's layers."""
         return self._gaps.setdefault(service, GapClock())
 
     def may_repeat(self, fingerprint: str) -> bool:
         """Return whether a request that broke off may run once more.
 
-        Not while targets that ended are put down to it, or nearly so: its
-        caller may come again, and by then more is known.
+        A request that is quarantined or suspected of crashing targets may
+        not.  Its caller may retry later, when more is known.
         """
         if self.quarantine.find(fingerprint) is not None:
             return False
         return not self.crashes.is_suspected(fingerprint)
 
     def apply_routes(self, table: RouteTable, source: str) -> bool:
-        """Put a newer configuration in force; never an older one.
+        """Apply a configuration if it is newer than the one in force.
 
-        :param source: where it came from, for the log.
+        :param source: the origin of the configuration, for the log.
+        :returns: whether the configuration was applied.
         """
         if self.routes is not None and table.version <= self.routes.version:
             return False
         self.routes = table
-        self._routes_known.set()
+        self._routes_applied.set()
         self.routes_applied_at = trio.current_time()
         self.recorder.version = table.version
         self.recorder.record(
@@ -100,13 +101,16 @@
             listener()
         return True
 
-    async def wait_routes(self, patience: float) -> None:
-        """Wait until routes and targets are known, or patience has ended."""
+    async def wait_for_routes(self, timeout: float) -> None:
+        """Wait until routes and targets are known or the timeout expires.
+
+        :param timeout: in seconds.
+        """
         if self.routes is not None and self.targets.known.is_set():
             return
-        with trio.move_on_after(patience):
+        with trio.move_on_after(timeout):
             if self.routes is None:
-                await self._routes_known.wait()
+                await self._routes_applied.wait()
             await self.targets.known.wait()
 
     def listen_routes(self, listener: Callable[[], None]) -> None:
