--- a/magnoliacove/gateway/store.py
+++ b/magnoliacove/gateway/store.py
@@ -344,8 +344,8 @@
     def _read_targets(
         self, records: tuple[platform.Record, ...]
     ) -> list[ListedTarget]:
-        targets = map(self._read_target, records)
-        return [target for target in targets if target is not None]
+        results = map(self._read_target, records)
+        return [target for target in results if target is not None]
 
     def _read_target(self, record: platform.Record) -> ListedTarget | None:
         """Return the target that an entry names, None when it names none.
--- a/tests/gateway/test_crashes.py
+++ b/tests/gateway/test_crashes.py
@@ -1,4 +1,4 @@
-"""Targets that end under requests: found out, told, and kept from more."""
+"""Requests that crash targets: detection, reports and quarantine."""
 
 import dataclasses
 import types
@@ -13,9 +13,9 @@
 
 
 class _Endings:
-    """Targets of one stage that a request ends, and others that it cannot.
+    """Targets of one stage that end when they run certain requests.
 
-    A target that ends takes no connection any more.
+    A target that ended accepts no connections.
     """
 
     def __init__(self, stage):
@@ -44,13 +44,13 @@
 
         stub.script = script
         await self._stage.nursery.start(live)
-        known = await self._stage.add(name, stubs.stay_silent, **changes)
+        added = await self._stage.add(name, stubs.stay_silent, **changes)
         target = self._stage.state.targets.find(name)
         listed = dataclasses.replace(
             target, address=stub.address, revision=target.revision + 1
         )
         self._stage.state.targets.apply(listed)
-        return known
+        return added
 
 
 async def _ask(stage, path, number):
@@ -66,11 +66,11 @@
     await trio.sleep(0.6)
 
 
-async def test_a_stream_that_ends_engines_is_refused_and_others_are_not():
-    """A stream ends the engine that begins it, goes on at the next one and
-    ends that too.  Its caller comes again.  After the third engine it is
-    refused at once, as not run and with a time to come back; other streams
-    of the same caller go on.
+async def test_a_stream_that_crashes_engines_is_refused_and_others_are_not():
+    """A stream crashes its first engine, is retried at the next one and
+    crashes that too.  Its caller retries.  After the third engine it must be
+    refused at once, as not run and with `Retry-After`, while other streams
+    of the same caller are served.
     """
     async with stubs.open_stage() as stage:
         endings = _Endings(stage)
@@ -94,9 +94,9 @@
 
 
 async def test_an_engine_inside_the_path_counts_alike():
-    """The request ends the second engine of its path.  The first one lives
-    and waits for it, so no connection breaks: the stream falls silent, and
-    the engine is found to be gone when it is asked.
+    """A request crashes the second engine of its path.  The first one is
+    alive and waits for it, so no connection breaks.  The stream stalls, and
+    the probe of the second engine finds that it ended.
     """
 
     async def wait(received, stream):
@@ -129,10 +129,11 @@
         assert b"quarantined" in answer
 
 
-async def test_all_that_ran_at_a_lost_engine_is_counted():
-    """An engine inside the paths of three streams ends.  The first of them to
-    be led around it has the engine asked; the others come before the answer,
-    and the one that ended it was among these and was never counted.
+async def test_all_that_ran_at_a_failed_engine_is_counted():
+    """An engine inside the paths of three streams ends.  The first stream to
+    be rerouted starts the probe and the others are reported before its
+    result.  If only the first counted, the one that crashed the engine would
+    be missed.
     """
 
     async def wait(received, stream):
@@ -152,12 +153,16 @@
             )
             stage.crashes.check_failed_engines(["i-1"], routed, 0.1)
         await trio.sleep(0.2)
-        known = stage.state.crashes
-        assert [known.was_at_end(f"{n:016x}") for n in range(3)] == [True] * 3
+        crashes = stage.state.crashes
+        assert [crashes.was_at_end(f"{n:016x}") for n in range(3)] == [
+            True
+        ] * 3
 
 
-async def test_a_call_that_ends_targets_is_refused():
-    """The same at a plain service, whose targets tell no incarnation."""
+async def test_a_call_that_crashes_targets_is_refused():
+    """A call crashes targets of a plain service, which report no incarnation,
+    so only their refused connections show that they ended.
+    """
     async with stubs.open_stage() as stage:
         endings = _Endings(stage)
         for number in range(6):
@@ -171,9 +176,9 @@
         assert (await _ask(stage, "/get/good", 10)).endswith(b"ok")
 
 
-async def test_a_connection_that_breaks_is_no_end_of_its_target():
-    """Engines live on and lose the connections of one request each time it
-    comes, as a fault on the way does.  It is not kept away for that.
+async def test_a_broken_connection_does_not_count_as_a_crash():
+    """The connections of one request break each time while the engines stay
+    alive, as with a network fault.  The request must not be quarantined.
     """
     async with stubs.open_stage() as stage:
         for number in range(4):
@@ -186,14 +191,14 @@
         assert "target-ended" not in stage.list_kinds()
 
 
-async def test_an_engine_that_falls_silent_is_known_by_its_next_start():
-    """An engine ends under a request and its instance resets all connections
-    for longer than it is asked for closely.  Then it starts again, and says
-    when: the run is put down to its end, three seconds late.
+async def test_an_unresponsive_engine_is_identified_by_its_next_incarnation():
+    """An engine ends while it runs a request, and its instance resets all
+    connections past the first, closely spaced probes.  Then it restarts and
+    reports a new incarnation, so the crash is attributed three seconds late.
     """
     born = [1]
 
-    async def meet(received, stream):
+    async def respond(received, stream):
         if received.target == "/v1/report" and born[0] > 1:
             report = b'{"born": %d}' % born[0]
             await stream.send_all(stubs.make_answer(report))
@@ -201,7 +206,7 @@
         await stubs.reset(received, stream)
 
     async with stubs.open_stage() as stage:
-        await stage.add("i-1", meet, layers=(0, 80))
+        await stage.add("i-1", respond, layers=(0, 80))
         found = stage.state.targets.find("i-1")
         stage.state.targets.remove("i-1", 2)
         stage.state.targets.apply(
@@ -215,7 +220,7 @@
         assert "target-ended" in stage.list_kinds()
 
 
-async def test_a_target_that_leaves_is_not_ended_by_what_still_runs():
+async def test_the_end_of_a_draining_target_does_not_count_as_a_crash():
     async with stubs.open_stage() as stage:
         endings = _Endings(stage)
         for number in range(4):
@@ -227,9 +232,9 @@
         assert await stage.crashes._has_ended(leaving) is False
 
 
-async def test_a_quarantine_that_is_over_does_not_begin_by_itself():
-    """A quarantine lasted its time and nobody asked again.  Another target
-    ends: the old ends of the request are not counted a second time.
+async def test_an_expired_quarantine_does_not_begin_again_by_itself():
+    """A quarantine expired without a further request.  When another target
+    ends, the old crashes of the request must not be counted a second time.
     """
     async with stubs.open_stage() as stage:
         for number in range(3):
@@ -245,25 +250,25 @@
         assert book.find("00000000000000ab") is None
 
 
-async def test_what_other_gateways_saw_counts():
-    """Each gateway saw one end of a target.  Whichever it comes to next, the
-    request is refused; an answer of any gateway ends that for all.
+async def test_crashes_observed_by_other_gateways_count():
+    """Each gateway observed one crash.  The request must be refused at every
+    gateway, and an answer at any gateway ends the quarantine for all.
     """
     async with stubs.open_stage() as stage:
         await stage.add("i-9", stubs.answer_with(_WHOLE), layers=(0, 80))
         answer = await _ask(stage, "/stream/bad", 1)
         assert answer.endswith(stubs.END)
-        told = [
+        fingerprints = [
             event.detail["fingerprint"]
             for event in stage.recorder.list_events()
             if event.kind == "request-arrived"
         ]
         stage.state.crashes._answered.clear()
         for number in range(3):
-            run = CrashedRun(told[0], number, f"i-{number}", 0.1)
+            run = CrashedRun(fingerprints[0], number, f"i-{number}", 0.1)
             stage.crashes.record_reported_crash(run, 0.0)
         await trio.sleep(1.6)
         answer = await _ask(stage, "/stream/bad", 2)
         assert answer.split(b" ")[1] == b"503"
-        stage.crashes.note_answered(told[0])
+        stage.crashes.note_answered(fingerprints[0])
         assert (await _ask(stage, "/stream/bad", 3)).endswith(stubs.END)
--- a/tests/gateway/test_engine_checks.py
+++ b/tests/gateway/test_engine_checks.py
@@ -1,4 +1,4 @@
-"""How soon a lost engine is known, and that a sound one is not suspected."""
+"""Fast detection of failed engines without suspecting healthy ones."""
 
 import json
 
@@ -24,7 +24,7 @@
     return EngineChecks(stage.state, stage.calls, lambda: None)
 
 
-async def test_an_engine_that_answers_is_sound():
+async def test_an_engine_that_answers_is_healthy():
     async with stubs.open_stage() as stage:
         script = stubs.answer_with(stubs.make_answer(_REPORT))
         await stage.add("i-1", script, layers=(0, 80))
@@ -34,10 +34,10 @@
         assert stage.state.health.is_usable("i-1")
 
 
-async def test_one_lost_packet_makes_no_engine_look_lost():
-    """The first question is lost on its way and would be sent again after
-    the time in which engines answer.  The second one, on a connection of
-    its own, is answered: streams are not led away from a sound engine.
+async def test_one_lost_packet_makes_no_engine_look_failed():
+    """The first request for a report is lost and would be retransmitted only
+    after the time-out.  The second one, on a new connection, is answered, so
+    streams are not rerouted around a healthy engine.
     """
     asked = []
 
@@ -55,10 +55,10 @@
         assert stage.state.health.is_usable("i-1")
 
 
-async def test_an_engine_without_an_answer_is_lost_at_once():
-    """An engine falls silent.  Another one refuses a request in its name;
-    without a question all streams stayed with it for a second, and most
-    requests of that second came too late.
+async def test_an_engine_that_does_not_answer_is_suspected_at_once():
+    """An engine becomes unresponsive, and another one refuses a request
+    because of it.  Without a check all streams would stay with it for a
+    second, and most requests of that second would be late.
     """
     async with stubs.open_stage() as stage:
         await stage.add("i-1", stubs.stay_silent, layers=(0, 80))
@@ -69,8 +69,8 @@
 
 
 async def test_an_engine_is_not_blamed_for_our_own_delay(monkeypatch):
-    """This process was held up while the answer lay there: what came late
-    came late here, and the engine is sound.
+    """This process was delayed while the answer was already received.  The
+    delay is local, so the engine must not be suspected.
     """
     async with stubs.open_stage() as stage:
         await stage.add("i-1", stubs.stay_silent, layers=(0, 80))
@@ -86,10 +86,11 @@
 
 
 @pytest.mark.parametrize("lost", ["i-1", "i-2", "i-3"])
-async def test_a_silent_path_is_asked_before_the_objective_is_missed(lost):
-    """One of three engines of a path falls silent as a request is sent, and
-    the first one does not say for whom it waits.  Each is asked after a few
-    usual pauses; the request goes on elsewhere within its objective.
+async def test_a_silent_path_is_checked_before_the_objective_is_missed(lost):
+    """One of three engines of a path becomes unresponsive when a request is
+    sent, and the first one does not report for which engine it waits.  Each
+    engine is checked after a few usual gaps between events, so the request
+    is rerouted within its objective.
     """
 
     engines = {}
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -13,13 +13,13 @@
 _STREAM = stubs.STREAM + _WHOLE
 
 
-def _limit(answer, rate=1.2):
-    """Return an answer whose target names a limit."""
+def _report_limit(answer, rate=1.2):
+    """Return an answer in which the target reports a rate limit."""
     head, _, rest = answer.partition(b"\r\n")
     return head + b"\r\nserver-limit: %g\r\n" % rate + rest
 
 
-def _answer(stream):
+def _answer_streams(stream):
     """Return a script of an engine that answers streams and reports."""
 
     async def script(received, connection):
@@ -38,8 +38,8 @@
     return float(answer.lower().partition(b"retry-after: ")[2].split()[0])
 
 
-async def test_a_plain_target_gets_what_this_gateway_has_a_part_of():
-    limited = _limit(stubs.make_answer(b"ok"))
+async def test_a_plain_target_gets_only_requests_within_this_gateway_s_grant():
+    limited = _report_limit(stubs.make_answer(b"ok"))
     async with stubs.open_stage() as stage:
         stub = await stage.add("i-1", stubs.answer_with(limited))
         await stage.add(
@@ -59,11 +59,11 @@
         assert len(stub.requests) == 2
 
 
-async def test_a_caller_is_refused_at_once_where_all_targets_are_in_need():
-    """Each target of the service has a limit and this gateway no part of
-    one.  Held until its deadline a caller could not try elsewhere.
+async def test_a_caller_is_refused_at_once_when_no_target_admits_requests():
+    """Each target of the service has a limit, and this gateway has no grant.
+    A caller that waits until its deadline could not try elsewhere.
     """
-    limited = _limit(stubs.make_answer(b"ok"))
+    limited = _report_limit(stubs.make_answer(b"ok"))
     async with stubs.open_stage() as stage:
         stub = await stage.add("i-1", stubs.answer_with(limited))
         await stage.ask("/get/1")
@@ -75,25 +75,29 @@
         assert len(stub.requests) == 1
 
 
-async def test_a_stream_goes_past_an_engine_that_takes_no_more():
+async def test_a_stream_avoids_an_engine_that_admits_no_more():
     async with stubs.open_stage() as stage:
         first = await stage.add(
-            "i-1", _answer(_limit(_STREAM)), layers=(0, 80)
+            "i-1", _answer_streams(_report_limit(_STREAM)), layers=(0, 80)
         )
         await _ask_stream(stage)
-        other = await stage.add("i-2", _answer(_STREAM), layers=(0, 80))
+        other = await stage.add(
+            "i-2", _answer_streams(_STREAM), layers=(0, 80)
+        )
         for _ in range(5):
             assert b"piece 3" in await _ask_stream(stage)
         assert len(first.callers_requests) == 1
         assert len(other.callers_requests) == 5
 
 
-async def test_a_stream_is_refused_at_once_where_no_first_engine_takes_more():
-    """All engines that hold the first layers have a limit.  A stream used to
-    wait for room until its caller left.
+async def test_a_stream_is_refused_at_once_if_no_first_engine_admits_more():
+    """All engines with the first layers have a limit.  A stream must not
+    wait for capacity until its caller leaves.
     """
     async with stubs.open_stage() as stage:
-        await stage.add("i-1", _answer(_limit(_STREAM)), layers=(0, 80))
+        await stage.add(
+            "i-1", _answer_streams(_report_limit(_STREAM)), layers=(0, 80)
+        )
         await _ask_stream(stage)
         began = trio.current_time()
         answer = await _ask_stream(stage)
@@ -103,14 +107,16 @@
 
 
 async def test_streams_wait_for_a_limit_only_as_long_as_their_callers():
-    """The only first engine takes two requests a second.  Of twelve streams
-    that come at once most would wait in vain until their callers leave: they
-    are refused at once, and those before them are answered.
+    """The only first engine admits two requests a second.  Of twelve streams
+    that arrive together most would wait in vain until their callers leave.
+    These must be refused at once, and those before them are answered.
     """
     answers = []
 
     async with stubs.open_stage() as stage:
-        stub = await stage.add("i-1", _answer(_limit(_STREAM)), layers=(0, 80))
+        stub = await stage.add(
+            "i-1", _answer_streams(_report_limit(_STREAM)), layers=(0, 80)
+        )
         await _ask_stream(stage)
         stage.state.grants.take("g-2", [Grant("i-1", "gateway", 2.0)])
         stage.state.grants.renew({"i-1": "g-2"})
@@ -136,14 +142,16 @@
         assert sorted(refused)[len(refused) // 2] < 0.3
 
 
-async def test_an_engine_with_a_limit_still_runs_what_only_it_holds():
-    """It holds the last layers, which no other engine does.  What the engine
-    before it hands on is no request of a gateway; without it no caller would
-    get an answer.
+async def test_an_engine_with_a_limit_still_runs_layers_only_it_has_loaded():
+    """An engine with a limit is the only one with the last layers.  What the
+    previous engine forwards to it is no request of a gateway and does not
+    count.  If it did, no caller would get an answer.
     """
     async with stubs.open_stage() as stage:
-        await stage.add("i-1", _answer(_STREAM), layers=(0, 40))
-        inner = await stage.add("i-2", _answer(_STREAM), layers=(40, 80))
+        await stage.add("i-1", _answer_streams(_STREAM), layers=(0, 40))
+        inner = await stage.add(
+            "i-2", _answer_streams(_STREAM), layers=(40, 80)
+        )
         stage.state.backpressure.take(
             "i-2", TargetNotice(rate_limit=1.2), "a test"
         )
@@ -151,13 +159,15 @@
         assert not inner.callers_requests
 
 
-async def test_an_engine_that_takes_no_question_is_not_suspected():
-    """A refusal makes the gateway ask why.  Of an engine with a limit that
-    counts as a request, so only a connection is tried.
+async def test_an_engine_that_may_not_be_called_is_not_suspected():
+    """After a refusal the gateway requests a report.  At an engine with a
+    limit that counts as a request, so the gateway only opens a connection.
     """
     async with stubs.open_stage() as stage:
         stub = await stage.add(
-            "i-1", stubs.answer_with(_limit(stubs.NOT_RUN)), layers=(0, 80)
+            "i-1",
+            stubs.answer_with(_report_limit(stubs.NOT_RUN)),
+            layers=(0, 80),
         )
         await _ask_stream(stage)
         await trio.sleep(0.5)
@@ -166,41 +176,46 @@
         assert stage.state.permits.withheld
 
 
-_WANTS_REST = (
+_ASKS_FOR_BACK_OFF = (
     b"HTTP/1.1 503 Service Unavailable\r\nx-not-executed: 1\r\n"
     b"retry-after: 3\r\ncontent-length: 0\r\n\r\n"
 )
 
 
-async def test_a_target_that_asks_for_rest_is_told_apart_from_a_full_one():
-    """It was left alone for 0.3 s, and twice as long each time, though it had
-    asked for more.  One that is full asks for nothing.
+async def test_a_target_that_asks_for_back_off_differs_from_a_full_one():
+    """A target that asks for a longer back-off must get it, and not the
+    0.3 s, doubled each time, of a full target that asks for none.
     """
-    wants_long_rest = _WANTS_REST.replace(b": 3", b": 30")
+    asks_for_long_back_off = _ASKS_FOR_BACK_OFF.replace(b": 3", b": 30")
     async with stubs.open_stage() as stage:
-        resting = await stage.add(
-            "i-1", _answer(wants_long_rest), layers=(0, 80)
+        backing_off = await stage.add(
+            "i-1", _answer_streams(asks_for_long_back_off), layers=(0, 80)
+        )
+        full = await stage.add(
+            "i-2", _answer_streams(stubs.NOT_RUN), layers=(0, 80)
+        )
+        sound = await stage.add(
+            "i-3", _answer_streams(_STREAM), layers=(0, 80)
         )
-        full = await stage.add("i-2", _answer(stubs.NOT_RUN), layers=(0, 80))
-        sound = await stage.add("i-3", _answer(_STREAM), layers=(0, 80))
-        while not (resting.callers_requests and full.callers_requests):
+        while not (backing_off.callers_requests and full.callers_requests):
             await _ask_stream(stage)
         await trio.sleep(1.0)
         for _ in range(12):
             assert b"piece 3" in await _ask_stream(stage)
             await trio.sleep(0.1)
-        assert len(resting.requests) == 1
+        assert len(backing_off.requests) == 1
         assert len(full.callers_requests) > 1
         assert len(sound.callers_requests) >= 12
 
 
-async def test_callers_come_back_after_the_shortest_rest():
-    """All targets of a plain service want rest: a caller is refused at once,
-    and told when the first of them takes requests again.
+async def test_callers_retry_after_the_shortest_back_off():
+    """All targets of a plain service ask for back-off.  A caller must be
+    refused at once, with the time until the first of them admits requests
+    again.
     """
     async with stubs.open_stage() as stage:
         for name in ("i-1", "i-2"):
-            await stage.add(name, stubs.answer_with(_WANTS_REST))
+            await stage.add(name, stubs.answer_with(_ASKS_FOR_BACK_OFF))
         answer = await stage.ask("/post/1", method="POST", body=b"bid")
         assert answer.split(b" ")[1] == b"503"
         answer = await stage.ask("/post/1", method="POST", body=b"bid")
@@ -208,28 +223,28 @@
         assert 2.5 <= _read_retry_after(answer) <= 4.5
 
 
-async def test_a_stream_does_not_pass_through_an_engine_that_rests():
+async def test_a_stream_does_not_pass_through_an_engine_in_back_off():
     async with stubs.open_stage() as stage:
-        await stage.add("i-1", _answer(_STREAM), layers=(0, 40))
-        await stage.add("i-2", _answer(_STREAM), layers=(40, 80))
+        await stage.add("i-1", _answer_streams(_STREAM), layers=(0, 40))
+        await stage.add("i-2", _answer_streams(_STREAM), layers=(40, 80))
         notice = TargetNotice(rest=3.0)
         stage.state.backpressure.take("i-2", notice, "a test")
         assert (await _ask_stream(stage)).split(b" ")[1] == b"503"
 
 
-def _leave(answer):
-    """Return an answer whose target says that it leaves."""
+def _report_leaving(answer):
+    """Return an answer in which the target reports that it is leaving."""
     head, _, rest = answer.partition(b"\r\n")
     return head + b"\r\nserver-leaving: 1\r\n" + rest
 
 
-async def test_a_target_that_says_that_it_leaves_gets_no_more_for_good():
-    """Its entry says nothing, and a suspicion ends by itself: after that it
-    got requests again until it was gone.
+async def test_a_target_that_reports_leaving_gets_no_more_requests():
+    """A target reports that it is leaving, but its entry does not show that
+    and a suspicion expires.  It must not get requests again after that.
     """
     async with stubs.open_stage() as stage:
         left = await stage.add(
-            "i-1", stubs.answer_with(_leave(stubs.make_answer(b"ok")))
+            "i-1", stubs.answer_with(_report_leaving(stubs.make_answer(b"ok")))
         )
         await stage.ask("/get/1")
         assert stage.state.health.find("i-1").leaving
@@ -240,11 +255,11 @@
         assert len(left.requests) == 1
 
 
-async def test_an_engine_that_leaves_runs_nothing_that_others_hand_on():
+async def test_a_leaving_engine_runs_nothing_that_other_engines_forward():
     async with stubs.open_stage() as stage:
-        await stage.add("i-1", _answer(_STREAM), layers=(0, 40))
+        await stage.add("i-1", _answer_streams(_STREAM), layers=(0, 40))
         inner = await stage.add(
-            "i-2", _answer(_leave(_STREAM)), layers=(40, 80)
+            "i-2", _answer_streams(_report_leaving(_STREAM)), layers=(40, 80)
         )
         notice = TargetNotice(rate_limit=1.0, leaving=True)
         stage.state.backpressure.take("i-2", notice, "a test")
--- a/tests/gateway/test_notices.py
+++ b/tests/gateway/test_notices.py
@@ -1,4 +1,4 @@
-"""What targets say of themselves reaches the gateway's lines."""
+"""Limits that targets report reach the gateway's state and log."""
 
 import json
 
@@ -20,8 +20,10 @@
     ]
 
 
-async def test_a_limit_is_told_once_and_its_end_too():
-    """On-call could not tell whether a gateway had heard of a limit."""
+async def test_a_limit_and_its_end_are_each_logged_once():
+    """Without the log lines operators cannot see whether a gateway received
+    a limit.
+    """
     heads = [stubs.OK + _LIMITED, stubs.OK + _LIMITED, stubs.OK]
 
     async def script(_, stream):
@@ -34,12 +36,15 @@
             stage.state.grants.renew({"i-1": "gateway"})
             await trio.sleep(0.05)
             await stage.ask("/get/1")
-        told = _list_notices(stage)
-        assert [event.detail["rate_limit"] for event in told] == [50.0, None]
-        assert {event.target for event in told} == {"i-1"}
+        notices = _list_notices(stage)
+        assert [event.detail["rate_limit"] for event in notices] == [
+            50.0,
+            None,
+        ]
+        assert {event.target for event in notices} == {"i-1"}
 
 
-async def test_reports_are_heard_as_well_as_requests():
+async def test_limits_in_reports_are_recorded_like_those_in_answers():
     async def script(received, stream):
         head = stubs.OK + (
             _LIMITED if received.target == "/v1/report" else b""
@@ -50,13 +55,14 @@
         await stage.add("i-1", script, layers=(0, 80))
         target = stage.state.targets.find("i-1")
         await stage.calls.read_report(target)
-        [told] = _list_notices(stage)
-        assert told.detail["source"] == "/v1/report"
+        [notice] = _list_notices(stage)
+        assert notice.detail["source"] == "/v1/report"
 
 
 async def test_only_an_answer_of_the_target_itself_ends_its_limit():
-    """A health check may not name what answers to requests do, and a 421 may
-    come from another target that has the address by now.
+    """The answer to a health check may lack the limit that answers to
+    requests name, and a 421 may come from another target that has the
+    address by now.  Neither may end the limit.
     """
     not_here = (
         b"HTTP/1.1 421 Misdirected Request\r\nx-not-executed: 1\r\n"
--- a/tests/gateway/test_peering.py
+++ b/tests/gateway/test_peering.py
@@ -1,4 +1,4 @@
-"""What one gateway takes from its peers' heartbeats."""
+"""Heartbeats and snapshots exchanged between one gateway and its peers."""
 
 import random
 
@@ -51,10 +51,10 @@
     )
 
 
-async def test_a_suspicion_of_a_target_that_is_gone_is_not_taken(tmp_path):
-    """A target is gone, and gateways drop it one after the other.  Those
-    that still suspect it told the others, which told them in turn: the
-    suspicion of a target that no longer exists went round for ever.
+async def test_a_suspicion_of_a_removed_target_is_not_recorded(tmp_path):
+    """Gateways discard a removed target one after the other.  Those that
+    still suspect it report it to the others, which would report it back, so
+    the suspicion of a target that no longer exists would circulate forever.
     """
     async with stubs.open_stage() as stage:
         await stage.add("i-1", stubs.stay_silent)
@@ -68,10 +68,10 @@
         assert suspected == ["i-1"]
 
 
-async def test_a_gateway_that_is_cut_off_hears_of_the_store_s_era(tmp_path):
-    """The store came back from a copy, and this gateway cannot reach it.  By
-    what it knows an engine that only the lost time had is listed; a peer's
-    list, which has a lower number but a later era, says otherwise.
+async def test_a_gateway_without_the_store_takes_its_era_from_peers(tmp_path):
+    """The store was restored from an older snapshot, and this gateway cannot
+    reach it.  Its list still has an engine that the snapshot lacks.  A peer's
+    list, with a lower revision but a later era, must replace it.
     """
     async with stubs.open_stage() as stage:
         await stage.add("i-1", stubs.stay_silent)
@@ -83,39 +83,39 @@
         exchange = _make_exchange(stage, tmp_path)
         exchange._store.era.note(1, "the store")
         for sequence in (1, 2):
-            beat = _make_heartbeat(store_era=2, sequence=sequence)
-            exchange._take_heartbeat(beat)
-        told = [
+            heartbeat = _make_heartbeat(store_era=2, sequence=sequence)
+            exchange._take_heartbeat(heartbeat)
+        reported = [
             event
             for event in stage.state.recorder.list_events()
             if event.kind == "store-restored"
         ]
-        assert [event.detail["era"] for event in told] == [1, 2]
-        found = PeerSnapshot(b"", (), join_revision(2, 40))
-        exchange._take_snapshot(PeerSnapshot.decode(found.encode()), "g-2")
+        assert [event.detail["era"] for event in reported] == [1, 2]
+        snapshot = PeerSnapshot(b"", (), join_revision(2, 40))
+        exchange._take_snapshot(PeerSnapshot.decode(snapshot.encode()), "g-2")
         assert not stage.state.targets.list_all()
 
 
-async def test_a_holder_gives_way_to_a_peer_that_reaches_the_store(tmp_path):
+async def test_a_leader_yields_to_a_peer_that_reaches_the_store(tmp_path):
     async with stubs.open_stage() as stage:
         exchange = _make_exchange(stage, tmp_path)
         assert not exchange.has_acting_peer_with_store()
         for reachable in (False, True):
-            beat = _make_heartbeat(
+            heartbeat = _make_heartbeat(
                 acting=True,
                 store_reachable=reachable,
                 sequence=2 + reachable,
                 address=str(wire.Address("127.0.0.1", 2)),
             )
-            exchange.heartbeats._take_one(beat)
+            exchange.heartbeats._take_one(heartbeat)
             assert exchange.has_acting_peer_with_store() == reachable
 
 
-async def test_a_leaving_holder_is_followed_while_the_store_is_away(tmp_path):
-    """The store is away and the holder of the duty is stopped.  It answers
-    its callers for some seconds more and still tells that it reached the
-    store; nobody placed layers until it was gone, and paths with a gap
-    stayed closed for eight seconds.
+async def test_a_leaving_leader_is_replaced_during_a_store_outage(tmp_path):
+    """The placement leader is stopped during an outage of the store.  It
+    serves its callers for some seconds more and still reports that it reaches
+    the store.  If it counted, no gateway would place layers until it is gone,
+    and paths with a gap would stay closed for eight seconds.
     """
     async with stubs.open_stage() as stage:
         exchange = _make_exchange(stage, tmp_path)
@@ -131,7 +131,7 @@
         assert not exchange.is_fallback_leader()
 
 
-async def test_a_long_wait_of_a_watch_is_no_silence(tmp_path):
+async def test_the_store_outage_is_measured_from_the_first_failure(tmp_path):
     async with stubs.open_stage() as stage:
         exchange = _make_exchange(stage, tmp_path)
         assert exchange.measure_store_outage() > 1e6
@@ -142,12 +142,13 @@
 
 
 @pytest.mark.parametrize("engines", [130, 850, 3000, 4000])
-async def test_a_holder_is_heard_however_many_engines_there_are(
+async def test_a_leader_s_heartbeats_fit_with_any_number_of_engines(
     tmp_path, engines
 ):
-    """The duty's holder tells what each engine holds.  Before 3,500 engines
-    that was more than fits one datagram, and it sent none at all: the others
-    took it for gone and all asked the store for its lease.
+    """The placement leader reports the status of each engine.  With fewer
+    than 3,500 engines this already exceeds one datagram, and a heartbeat that
+    is too long is not sent.  The others would consider the leader unreachable
+    and all request its lease from the store.
     """
     async with stubs.open_stage() as stage:
         exchange = _make_exchange(stage, tmp_path)
@@ -157,11 +158,11 @@
         for name in names:
             first = rng.randrange(70)
             layers = LayerRange(first, first + 10)
-            held = Holding(layers, used=rng.uniform(0.0, 1e6))
-            stage.state.holdings.note(name, held, rng.random())
-        told = set()
+            status = Holding(layers, used=rng.uniform(0.0, 1e6))
+            stage.state.holdings.note(name, status, rng.random())
+        reported = set()
         for sequence in range(40):
-            made = exchange._make_heartbeat(sequence, ())
-            assert len(made.encode()) <= 60_000
-            told.update(item.target for item in made.holdings)
-        assert told == set(names)
+            heartbeat = exchange._make_heartbeat(sequence, ())
+            assert len(heartbeat.encode()) <= 60_000
+            reported.update(item.target for item in heartbeat.holdings)
+        assert reported == set(names)
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -1,4 +1,4 @@
-"""One whole gateway over loopback: ready, serving, leaving."""
+"""A whole gateway over loopback: readiness, serving and draining."""
 
 import json
 
@@ -68,7 +68,9 @@
     return await stubs.read_all(stream)
 
 
-async def test_a_gateway_serves_and_says_that_it_is_ready(nursery, tmp_path):
+async def test_a_gateway_serves_and_reports_that_it_is_ready(
+    nursery, tmp_path
+):
     answer = stubs.answer_with(stubs.make_answer(b"ok"))
     _, ports = await _start(nursery, tmp_path, answer)
     assert (await _ask(ports[0])).endswith(b"ok")
@@ -76,13 +78,13 @@
     nursery.cancel_scope.cancel()
 
 
-async def test_a_gateway_that_leaves_takes_nothing_it_cannot_end(
+async def test_a_draining_gateway_accepts_nothing_it_cannot_finish(
     nursery, tmp_path, monkeypatch
 ):
-    """The only gateway of a data centre is told to stop.  The balancer has
-    no other one there and goes on sending callers.  What came at first is
-    answered in full; later connections are refused, so that their callers
-    go elsewhere instead of being cut off at the end of the grace time.
+    """The only gateway of a data centre is drained.  The balancer has no other
+    one there and continues to send callers.  Early requests must be answered
+    in full and later connections refused, so that their callers try elsewhere
+    instead of being cut off at the end of the grace time.
     """
     monkeypatch.setattr(process, "_BALANCER_DELAY", 0.4)
     slow = stubs.answer_with(stubs.make_answer(b"ok"), after=1.0)
@@ -110,8 +112,8 @@
 
 async def test_a_listener_for_another_address_is_closed(nursery, tmp_path):
     """The settings name another address than the one that the program was
-    started with.  Callers come to the one in the settings; who came to the
-    other is told at once that nobody listens there.
+    started with.  Callers are served at the address in the settings.  A
+    connection to the other address must be refused at once.
     """
     early = bind_socket("127.0.0.1", 0)
     address = early.getsockname()
--- a/tests/gateway/test_quarantine_records.py
+++ b/tests/gateway/test_quarantine_records.py
@@ -1,4 +1,4 @@
-"""Quarantines in the store: what a gateway that starts finds there."""
+"""Quarantines in the store, which gateways read when they start."""
 
 import json
 import time
@@ -10,7 +10,7 @@
 from magnoliacove.limits.quarantine import QuarantineBook
 from magnoliacove.standins import object_api
 
-_BAD = "00c3b2a190817263"
+_FINGERPRINT = "00c3b2a190817263"
 
 
 def _start(nursery, store):
@@ -22,69 +22,73 @@
 
 
 async def test_a_quarantine_outlives_all_gateways(nursery, autojump_clock):
-    """A request ended three targets.  All gateways are killed at once, and
-    those that start know nothing of it: three more targets would end.
+    """A request crashed three targets.  All gateways are killed at once, and
+    without the stored quarantine the request would crash three more targets
+    at the gateways that start.
     """
     store = object_api.ObjectStore()
     book, records = _start(nursery, store)
-    records.save(book.begin(_BAD, 3, "a test"))
+    records.save(book.begin(_FINGERPRINT, 3, "a test"))
     await trio.sleep(10.0)
-    later, _ = _start(nursery, store)
+    restarted, _ = _start(nursery, store)
     await trio.sleep(0.1)
-    found = later.find(_BAD)
-    assert found.round == 1
-    assert found.crashes == 3
-    assert 0.0 < later.admit(_BAD) <= 60.0
+    quarantine = restarted.find(_FINGERPRINT)
+    assert quarantine.round == 1
+    assert quarantine.crashes == 3
+    assert 0.0 < restarted.admit(_FINGERPRINT) <= 60.0
 
 
-async def test_the_store_is_away_when_a_quarantine_begins(
+async def test_a_quarantine_is_written_after_an_outage_of_the_store(
     nursery, autojump_clock
 ):
     store = object_api.ObjectStore()
     book, records = _start(nursery, store)
     store.faults.outage = True
-    records.save(book.begin(_BAD, 3, "a test"))
+    records.save(book.begin(_FINGERPRINT, 3, "a test"))
     await trio.sleep(20.0)
     store.faults.outage = False
     assert await _list(store) == []
     await trio.sleep(5.0)
-    assert await _list(store) == [f"quarantines/{_BAD}"]
+    assert await _list(store) == [f"quarantines/{_FINGERPRINT}"]
 
 
-async def test_a_lost_answer_costs_nothing(nursery, autojump_clock):
+async def test_a_write_with_a_lost_answer_is_retried(nursery, autojump_clock):
     store = object_api.ObjectStore()
     book, records = _start(nursery, store)
     store.faults.lost_answers = 1
-    records.save(book.begin(_BAD, 3, "a test"))
+    records.save(book.begin(_FINGERPRINT, 3, "a test"))
     await trio.sleep(5.0)
-    assert await _list(store) == [f"quarantines/{_BAD}"]
-    records.save(book.end(_BAD, "it was answered"))
+    assert await _list(store) == [f"quarantines/{_FINGERPRINT}"]
+    records.save(book.end(_FINGERPRINT, "it was answered"))
     await trio.sleep(5.0)
     assert await _list(store) == []
 
 
-async def test_who_hears_no_peer_asks_the_store(nursery, autojump_clock):
-    """A gateway is cut off from all others and reaches the store.  It lost a
-    target under a request that the others keep away already.
+async def test_a_partitioned_gateway_reads_the_store(nursery, autojump_clock):
+    """A gateway is partitioned from all others but reaches the store.  It
+    lost a target to a request that the others have quarantined already.
     """
     store = object_api.ObjectStore()
-    alone, its_records = _start(nursery, store)
+    partitioned, its_records = _start(nursery, store)
     await trio.sleep(5.0)
     book, records = _start(nursery, store)
-    records.save(book.begin(_BAD, 3, "a test"))
+    records.save(book.begin(_FINGERPRINT, 3, "a test"))
     await trio.sleep(1.0)
-    assert alone.admit(_BAD) == 0.0
+    assert partitioned.admit(_FINGERPRINT) == 0.0
     calls = store.counts["list"]
     for _ in range(50):
         its_records.request_read()
         await trio.sleep(0.01)
-    assert alone.admit(_BAD) > 0.0
+    assert partitioned.admit(_FINGERPRINT) > 0.0
     assert store.counts["list"] - calls <= 2
 
 
-async def test_what_is_over_or_unclear_is_taken_away(nursery, autojump_clock):
-    """An object outlived its quarantine, others are not as ours are, and one
-    says, by a clock that is a day ahead, that it goes on for a day.
+async def test_expired_and_invalid_objects_are_deleted(
+    nursery, autojump_clock
+):
+    """One object outlived its quarantine, others are invalid, and one, by a
+    clock that is a day ahead, lasts for a day.  The last must be limited to
+    the duration of the quarantine and the others deleted.
     """
     store = object_api.ObjectStore()
     base = {"round": 1, "seconds": 60.0, "crashes": 3}
@@ -104,7 +108,9 @@
     await trio.sleep(1.0)
     assert await _list(store) == [f"quarantines/{ahead}"]
     assert 58.0 <= book.admit(ahead) <= 60.0
-    assert [one.fingerprint for one in book.list_all()] == [ahead]
+    assert [quarantine.fingerprint for quarantine in book.list_all()] == [
+        ahead
+    ]
 
 
 async def _list(store):
--- a/tests/gateway/test_restored_store.py
+++ b/tests/gateway/test_restored_store.py
@@ -1,7 +1,7 @@
-"""What a gateway believes once the store came back from an older copy.
+"""The state of a gateway after the store is restored from an older snapshot.
 
-The store is spoken to over HTTP here, as only there a revision that was given
-out again looks like the one before.
+The tests call the store over HTTP, since only there a revision that is
+assigned again looks like the earlier one.
 """
 
 import contextlib
@@ -23,18 +23,18 @@
 
 _ENTRY = samples.ENTRY
 _LEAVING = {**_ENTRY, "state": "draining"}
-_BAD = "00c3b2a190817263"
-# Writes of the time that the store loses; as many are made again after it.
+_FINGERPRINT = "00c3b2a190817263"
+# Writes that the store loses when it is restored.
 _LOST_WRITES = 20
 
 
-class _Play:
-    """A gateway that follows a store which loses its last seconds."""
+class _Scenario:
+    """A gateway that follows a store which loses its last writes."""
 
     def __init__(self, store, state):
         self.store = store
         self.state = state
-        self._copy = store.copy()
+        self._snapshot = store.copy()
 
     async def write(self, name, value):
         await self.store.put(name, json.dumps(value).encode())
@@ -42,22 +42,22 @@
     async def write_entry(self, name, value=_ENTRY):
         await self.write(f"servers/{name}", value)
 
-    async def pass_time(self):
-        """Let the store's revision grow, by writes of no interest."""
+    async def grow_revision(self):
+        """Increase the store's revision by unrelated writes."""
         for number in range(_LOST_WRITES):
             await self.write("other/x", number)
 
     async def copy(self):
-        self._copy = self.store.copy()
-        await self.pass_time()
+        self._snapshot = self.store.copy()
+        await self.grow_revision()
         await trio.sleep(0.5)
 
     async def restore(self):
-        """Be away for a second and come back from the copy."""
+        """Make the store unavailable for a second and restore the snapshot."""
         self.store.faults.outage = True
         self.store.wake_watches()
         await trio.sleep(1.0)
-        self.store.restore(self._copy)
+        self.store.restore(self._snapshot)
         self.store.faults.outage = False
 
     def list_names(self):
@@ -81,131 +81,135 @@
     )
     url = await nursery.start(web.run_server, app, listener)
     api = platform.HttpObjectApi(url, timeout=1.0)
-    play = _Play(store, stage.state)
+    scenario = _Scenario(store, stage.state)
     for name in ("i-1", "i-2"):
-        await play.write_entry(name)
-    await play.write("config/main", {**samples.CONFIGURATION, "version": 7})
+        await scenario.write_entry(name)
+    await scenario.write(
+        "config/main", {**samples.CONFIGURATION, "version": 7}
+    )
     nursery.start_soon(StoreFollower(stage.state, api).run)
-    await play.wait_names(["i-1", "i-2"], 3.0)
-    yield play, api
+    await scenario.wait_names(["i-1", "i-2"], 3.0)
+    yield scenario, api
 
 
-async def test_a_drain_told_afterwards_is_believed(nursery):
-    """The store comes back from a copy and counts on from it.  An engine
-    then says that it leaves, under a lower revision than its entry had.
-    Requests that still go to it are cut off when it ends.
+async def test_a_drain_after_the_restore_is_applied(nursery):
+    """The store is restored and continues from the snapshot's revision.  An
+    engine then reports that it is leaving, at a lower revision than its entry
+    had.  Requests that still go there would be cut off when it ends.
     """
-    async with _follow(nursery) as (play, _):
-        await play.copy()
-        await play.write_entry("i-1", {**_ENTRY, "slots": 95})
+    async with _follow(nursery) as (scenario, _):
+        await scenario.copy()
+        await scenario.write_entry("i-1", {**_ENTRY, "slots": 95})
         await trio.sleep(0.5)
-        await play.restore()
-        await play.write_entry("i-1", {**_ENTRY, "slots": 95})
-        await play.write_entry("i-1", _LEAVING)
-        await play.wait_names(["i-2"], 1.5)
+        await scenario.restore()
+        await scenario.write_entry("i-1", {**_ENTRY, "slots": 95})
+        await scenario.write_entry("i-1", _LEAVING)
+        await scenario.wait_names(["i-2"], 1.5)
 
 
-async def test_a_drain_told_in_the_lost_time_holds(nursery):
-    """An engine says that it leaves, and the gateway knows.  The store comes
-    back from a copy in which the engine is ready, and the engine writes its
-    entry again a second later.  In between it must get nothing.
+async def test_a_drain_that_the_store_lost_stays_in_effect(nursery):
+    """An engine reported that it is leaving.  The store is restored from a
+    snapshot in which the engine is ready, and the engine writes its entry
+    again a second later.  In between it must get no requests.
     """
-    async with _follow(nursery) as (play, _):
-        await play.copy()
-        await play.write_entry("i-1", _LEAVING)
-        await play.wait_names(["i-2"], 2.0)
-        await play.restore()
+    async with _follow(nursery) as (scenario, _):
+        await scenario.copy()
+        await scenario.write_entry("i-1", _LEAVING)
+        await scenario.wait_names(["i-2"], 2.0)
+        await scenario.restore()
         for _ in range(20):
             await trio.sleep(0.05)
-            assert play.list_names() == ["i-2"]
-        await play.write_entry("i-1", _LEAVING)
+            assert scenario.list_names() == ["i-2"]
+        await scenario.write_entry("i-1", _LEAVING)
         await trio.sleep(0.5)
-        assert play.list_names() == ["i-2"]
+        assert scenario.list_names() == ["i-2"]
 
 
-async def test_an_engine_that_left_in_the_lost_time_stays_gone(nursery):
-    """An engine's entry is removed, then a copy brings it back.  It lapses
-    some seconds later, as nobody renews it; the address may be another's.
+async def test_an_engine_removed_after_the_snapshot_stays_removed(nursery):
+    """An engine's entry is removed, then the restore brings it back.  It
+    expires some seconds later, since it is not renewed.  Until then it must
+    not be used, since the address may belong to another engine.
     """
-    async with _follow(nursery) as (play, _):
-        await play.copy()
-        await play.store.delete("servers/i-1")
-        await play.wait_names(["i-2"], 2.0)
-        await play.restore()
-        await play.write_entry("i-2")
+    async with _follow(nursery) as (scenario, _):
+        await scenario.copy()
+        await scenario.store.delete("servers/i-1")
+        await scenario.wait_names(["i-2"], 2.0)
+        await scenario.restore()
+        await scenario.write_entry("i-2")
         for _ in range(30):
             await trio.sleep(0.1)
-            assert play.list_names() == ["i-2"]
-        await play.write_entry("i-1")
-        await play.wait_names(["i-1", "i-2"], 1.0)
+            assert scenario.list_names() == ["i-2"]
+        await scenario.write_entry("i-1")
+        await scenario.wait_names(["i-1", "i-2"], 1.0)
 
 
-async def test_an_engine_only_the_lost_time_knew_is_gone(nursery):
-    """Two engines join after the copy.  One writes its entry again, the
-    other has ended meanwhile: it is kept for the usual time and then gone.
+async def test_an_engine_that_only_the_lost_writes_had_is_removed(nursery):
+    """Two engines join after the snapshot.  After the restore one writes its
+    entry again.  The other has ended meanwhile, so it is kept for the usual
+    grace time and then removed.
     """
-    async with _follow(nursery) as (play, _):
-        await play.copy()
-        await play.write_entry("i-3")
-        await play.write_entry("i-4")
-        await play.wait_names(["i-1", "i-2", "i-3", "i-4"], 2.0)
-        await play.restore()
+    async with _follow(nursery) as (scenario, _):
+        await scenario.copy()
+        await scenario.write_entry("i-3")
+        await scenario.write_entry("i-4")
+        await scenario.wait_names(["i-1", "i-2", "i-3", "i-4"], 2.0)
+        await scenario.restore()
         await trio.sleep(0.5)
-        assert play.list_names() == ["i-1", "i-2", "i-3", "i-4"]
-        await play.write_entry("i-3")
-        await play.wait_names(["i-1", "i-2", "i-3"], 3.5)
+        assert scenario.list_names() == ["i-1", "i-2", "i-3", "i-4"]
+        await scenario.write_entry("i-3")
+        await scenario.wait_names(["i-1", "i-2", "i-3"], 3.5)
 
 
-async def test_a_version_of_the_lost_time_stays_in_force(nursery):
-    """The operator's version 12 takes a caller's key away, then the store
-    comes back with version 7, in which the key is.  The key must not work
-    again; the operator writes 12 and then 15 once more.
+async def test_a_version_that_the_store_lost_stays_in_force(nursery):
+    """The operator's version 12 revokes a caller's key, then the store is
+    restored with version 7, which contains the key.  The key must not work
+    again.  The operator writes 12 again and then 15.
     """
-    async with _follow(nursery) as (play, _):
-        await play.copy()
+    async with _follow(nursery) as (scenario, _):
+        await scenario.copy()
         newer = {**samples.CONFIGURATION, "version": 12}
-        await play.write("config/main", newer)
+        await scenario.write("config/main", newer)
         with trio.fail_after(2.0):
-            while play.state.routes.version != 12:
+            while scenario.state.routes.version != 12:
                 await trio.sleep(0.05)
-        await play.restore()
+        await scenario.restore()
         for _ in range(20):
             await trio.sleep(0.05)
-            assert play.state.routes.version == 12
-        await play.write("config/main", newer)
-        await play.write("config/main", {**newer, "version": 15})
+            assert scenario.state.routes.version == 12
+        await scenario.write("config/main", newer)
+        await scenario.write("config/main", {**newer, "version": 15})
         await trio.sleep(1.5)
-        assert play.state.routes.version == 15
+        assert scenario.state.routes.version == 15
 
 
-async def test_a_quarantine_of_the_lost_time_is_written_again(nursery):
-    """Three engines ended under a request, and the store forgot that.  When
-    all gateways are killed next, the request costs three engines more.
+async def test_a_quarantine_that_the_store_lost_is_written_again(nursery):
+    """A request crashed three engines, and the store lost its quarantine.  If
+    all gateways are killed next, the request crashes three more engines.
     """
-    async with _follow(nursery) as (play, api):
+    async with _follow(nursery) as (scenario, api):
         recorder = timeline.Recorder("g")
         book = QuarantineBook(recorder)
         records = QuarantineRecords(api, book, recorder)
         nursery.start_soon(records.run)
-        await play.copy()
-        records.save(book.begin(_BAD, 3, "a test"))
+        await scenario.copy()
+        records.save(book.begin(_FINGERPRINT, 3, "a test"))
         await trio.sleep(0.5)
-        assert play.store.holds(f"quarantines/{_BAD}")
-        await play.restore()
-        assert not play.store.holds(f"quarantines/{_BAD}")
+        assert scenario.store.holds(f"quarantines/{_FINGERPRINT}")
+        await scenario.restore()
+        assert not scenario.store.holds(f"quarantines/{_FINGERPRINT}")
         with trio.fail_after(3.0):
-            while not play.store.holds(f"quarantines/{_BAD}"):
+            while not scenario.store.holds(f"quarantines/{_FINGERPRINT}"):
                 await trio.sleep(0.05)
 
 
 @pytest.mark.parametrize("times", [2, 3])
-async def test_again_and_again(nursery, times):
-    """The store comes back from the same copy several times."""
-    async with _follow(nursery) as (play, _):
+async def test_the_store_is_restored_repeatedly(nursery, times):
+    """The store is restored several times in a row."""
+    async with _follow(nursery) as (scenario, _):
         for _ in range(times):
-            await play.copy()
-            await play.write_entry("i-2", {**_ENTRY, "slots": 90})
-            await play.restore()
-            await play.write_entry("i-2", {**_ENTRY, "slots": 90})
-        await play.write_entry("i-1", _LEAVING)
-        await play.wait_names(["i-2"], 2.0)
+            await scenario.copy()
+            await scenario.write_entry("i-2", {**_ENTRY, "slots": 90})
+            await scenario.restore()
+            await scenario.write_entry("i-2", {**_ENTRY, "slots": 90})
+        await scenario.write_entry("i-1", _LEAVING)
+        await scenario.wait_names(["i-2"], 2.0)
--- a/tests/gateway/test_beliefs.py
+++ b/tests/gateway/test_stale_engine_status.py
@@ -1,4 +1,4 @@
-"""Answers that contradict what is believed of an engine."""
+"""Answers that contradict the recorded status of an engine."""
 
 import json
 
@@ -17,7 +17,7 @@
 
 
 def _refuse(report):
-    """Return a script of an engine that refuses, and reports something."""
+    """Return a script of an engine that refuses and sends a report."""
 
     async def script(received, stream):
         if received.target == "/v1/report":
@@ -52,11 +52,11 @@
         {"busy": True, "sequence": 1, "layers": {"from": 40, "to": 80}},
     ],
 )
-async def test_a_refusal_corrects_the_belief_for_all_requests(report):
-    """An engine holds other layers than is believed, as after a restart.
-    It is the quickest, so every request is sent there first and refused;
-    each learned that by itself, took the same path again and ended with
-    503.  One report now corrects the belief for all that follow.
+async def test_a_refusal_corrects_the_status_for_all_requests(report):
+    """An engine has loaded other layers than recorded, as after a restart.
+    It is the fastest, so every request goes there first and is refused.
+    Without a shared correction each request takes the same path again and
+    ends with 503.  One report must correct the status for all that follow.
     """
     async with stubs.open_stage() as stage:
         wrong = await stage.add("i-1", _refuse(report), layers=(0, 80))
@@ -73,10 +73,10 @@
         assert holding.layers in (None, LayerRange(40, 80))
 
 
-async def test_a_refusal_shows_that_an_engine_started_again():
-    """An engine crashed and is back under its name; its entry still tells
-    of before.  Its report names another start: what was believed of it is
-    dropped at once, and it counts as one that holds nothing.
+async def test_a_refusal_shows_that_an_engine_restarted():
+    """An engine crashed and is back under its name, but its entry is still
+    the old one.  Its report names another incarnation, so its recorded
+    status is discarded at once and it counts as having no layers loaded.
     """
     async with stubs.open_stage() as stage:
         report = {"busy": False, "sequence": 0, "born": 2000}
@@ -91,11 +91,11 @@
         assert (found.entry, found.layers) == ("i-1", None)
 
 
-async def test_streams_leave_an_engine_that_started_again():
-    """The second engine of a path starts again while a stream passes
-    through it.  What it held of the stream is lost and the stream falls
-    silent; it goes on along another path as soon as the restart is known,
-    and the engine itself is not suspected for it.
+async def test_streams_leave_an_engine_that_restarted():
+    """The second engine of a path restarts while a stream passes through it.
+    Its state of the stream is lost and the stream stalls.  The stream must
+    continue on another path as soon as the restart is known, and the engine
+    must not be suspected for it.
     """
     orders = []
 
--- a/tests/gateway/test_store.py
+++ b/tests/gateway/test_store.py
@@ -29,7 +29,7 @@
     return stage.state, store, follower
 
 
-async def test_a_new_version_is_in_force_at_once(autojump_clock, nursery):
+async def test_a_new_version_is_applied_at_once(autojump_clock, nursery):
     state, store, _ = await _start(nursery)
     await store.put("config/main", _write(7))
     await trio.sleep(0.5)
@@ -39,8 +39,8 @@
     assert state.routes.version == 12
 
 
-async def test_an_older_version_never_comes_back(autojump_clock, nursery):
-    """A peer that is behind, or a late read, brings an older version."""
+async def test_an_older_version_is_never_applied(autojump_clock, nursery):
+    """A peer that is behind, or a late read, provides an older version."""
     state, store, follower = await _start(nursery)
     await store.put("config/main", _write(12))
     await trio.sleep(0.5)
@@ -50,8 +50,8 @@
 
 async def test_bad_input_leaves_the_last_good_state(autojump_clock, nursery):
     """An operator's version cannot be read, and an engine's entry is
-    wrong.  Each is told once, naming the field; the last good version
-    stays in force and the other engines are listed.
+    invalid.  Each error must be logged once and name the field, while the
+    last good version stays in force and the other engines stay listed.
     """
     state, store, _ = await _start(nursery)
     await store.put("config/main", _write(7))
@@ -63,22 +63,24 @@
     await trio.sleep(6.0)
     assert state.routes.version == 7
     assert [t.name for t in state.targets.list_all()] == ["i-1"]
-    told = [
+    reported = [
         event.why
         for event in state.recorder.list_events()
         if event.kind in ("configuration-unreadable", "target-unreadable")
     ]
-    assert len(told) == 2
-    assert any("timeout_ms" in why for why in told)
+    assert len(reported) == 2
+    assert any("timeout_ms" in why for why in reported)
     await store.put("config/main", _write(9))
     await trio.sleep(0.5)
     assert state.routes.version == 9
 
 
-async def test_an_outage_changes_no_belief(autojump_clock, nursery):
-    """The store is away for eight seconds.  Routes and targets stay; an
-    entry that lapsed meanwhile and comes back within two seconds was never
-    gone, one that does not is.
+async def test_an_outage_changes_neither_routes_nor_targets(
+    autojump_clock, nursery
+):
+    """The store is unavailable for eight seconds.  Routes and targets must
+    stay.  A target whose entry expired meanwhile stays if the entry is
+    written again within two seconds, and is removed otherwise.
     """
     state, store, follower = await _start(nursery)
     await store.put("config/main", _write(7))
@@ -100,9 +102,11 @@
     assert [t.name for t in state.targets.list_all()] == ["i-1"]
 
 
-async def test_a_history_that_is_gone_is_read_anew(autojump_clock, nursery):
-    """Changes are made and the history is dropped before a watch saw
-    them.  Everything is read again, so nothing is missed.
+async def test_everything_is_read_again_after_compaction(
+    autojump_clock, nursery
+):
+    """The history is compacted before a watch receives the latest changes.
+    Everything must be read again, so that nothing is missed.
     """
     state, store, _ = await _start(nursery)
     await store.put("config/main", _write(7))
@@ -118,7 +122,7 @@
 
 
 class _SilentStore(object_api.ObjectStore):
-    """A store whose first watch on the list falls silent."""
+    """A store whose first watch on the list never returns."""
 
     def __init__(self):
         super().__init__()
@@ -134,9 +138,9 @@
 async def test_a_stuck_watch_is_noticed_by_a_peer_s_newer_list(
     autojump_clock, nursery
 ):
-    """The connection of the watch on the list falls silent, and the watch
-    waits long, since a peer with the placement duty looks more often.  The
-    peer tells of a newer change, so the list is read again at once.
+    """The watch on the list becomes unresponsive, and its call waits long
+    because the placement leader polls the store more often.  When that peer
+    reports a newer change the list must be read again at once.
     """
     stage = stubs.Stage(nursery)
     store = _SilentStore()
@@ -165,12 +169,13 @@
     assert "watch-stuck" not in kinds
 
 
-async def test_lapses_that_a_waiting_watch_brings_are_not_taken_for_losses(
+async def test_entries_that_expire_in_an_outage_remove_no_live_target(
     autojump_clock, nursery
 ):
-    """A watch waits through a whole outage, of which only the duty's holder
-    knows.  When the store is back the watch brings the removal of entries
-    that lapsed meanwhile; the targets live and write themselves anew.
+    """A watch waits through a whole outage that only the placement leader
+    detects.  When the store is back the watch returns the removal of entries
+    that expired meanwhile, but the targets are alive and write their entries
+    again.
     """
     stage = stubs.Stage(nursery)
     store = object_api.ObjectStore()
@@ -194,12 +199,12 @@
     assert not stage.state.targets.list_all()
 
 
-async def test_an_entry_that_another_writer_spoils_names_no_engine(
+async def test_an_entry_that_another_writer_corrupts_names_no_engine(
     autojump_clock, nursery
 ):
-    """Somebody writes over the entry of one engine, again and again.  It is
-    used no more and told once, naming the field; the other engine stays.
-    Its own next heartbeat brings the first one back.
+    """Another writer repeatedly overwrites the entry of one engine.  That
+    engine must no longer be used, with one log line that names the field,
+    while the other engine stays.  Its own next write restores it.
     """
     state, store, _ = await _start(nursery)
     await store.put("config/main", _write(7))
@@ -207,17 +212,17 @@
         await store.put(f"servers/{name}", json.dumps(_ENTRY).encode())
     await trio.sleep(0.5)
     for number in range(5):
-        spoiled = {**_ENTRY, "state": "resting", "sequence": number}
-        await store.put("servers/i-2", json.dumps(spoiled).encode())
+        corrupted = {**_ENTRY, "state": "resting", "sequence": number}
+        await store.put("servers/i-2", json.dumps(corrupted).encode())
         await trio.sleep(0.5)
     assert [t.name for t in state.targets.list_all()] == ["i-1"]
-    told = [
+    reported = [
         (event.target, event.why)
         for event in state.recorder.list_events()
         if event.kind == "target-unreadable"
     ]
-    assert [target for target, _ in told] == ["i-2"]
-    assert "state" in told[0][1]
+    assert [target for target, _ in reported] == ["i-2"]
+    assert "state" in reported[0][1]
     await store.put("servers/i-2", json.dumps(_ENTRY).encode())
     await trio.sleep(0.5)
     assert len(state.targets.list_all()) == 2
@@ -228,16 +233,16 @@
 
     def __init__(self):
         super().__init__()
-        self.handed = collections.Counter()
+        self.objects_returned = collections.Counter()
         self.answers = 0
 
     async def get(self, name):
-        self.handed[name.partition("/")[0]] += 1
+        self.objects_returned[name.partition("/")[0]] += 1
         return await super().get(name)
 
     async def watch(self, prefix, after, wait):
         events, revision = await super().watch(prefix, after, wait)
-        self.handed[prefix.rstrip("/")] += len(events)
+        self.objects_returned[prefix.rstrip("/")] += len(events)
         self.answers += bool(events)
         return events, revision
 
@@ -245,10 +250,10 @@
 async def test_versions_in_quick_succession_are_not_all_read(
     autojump_clock, nursery
 ):
-    """Callers' streams stall: every gateway reads 25 whole configurations.
-
-    An operator's script writes a version every 0.08 s.  The first one is in
-    force at once, the last one within a second, and most are never read.
+    """An operator's script writes a version every 0.08 s.  If every gateway
+    reads all 25 configurations, callers' streams stall.  The first version
+    must be in force at once, the last one within a second, and most must
+    never be read.
     """
     stage = stubs.Stage(nursery)
     store = _CountingStore()
@@ -262,7 +267,7 @@
         await trio.sleep(0.08)
     await trio.sleep(1.0)
     assert stage.state.routes.version == 34
-    assert store.handed["config"] <= 14
+    assert store.objects_returned["config"] <= 14
 
 
 async def test_a_single_change_costs_one_call(autojump_clock, nursery):
@@ -274,16 +279,16 @@
         await store.put("config/main", _write(version))
         await trio.sleep(0.01)
         assert stage.state.routes.version == version
-    assert store.handed["config"] == 3
+    assert store.objects_returned["config"] == 3
 
 
-async def test_who_follows_a_peer_reads_the_list_less_often(
+async def test_a_gateway_that_follows_a_peer_reads_the_list_less_often(
     autojump_clock, nursery
 ):
-    """Entries change all the time, and each change woke every gateway.
-
-    One that hears how new the duty holder's list is gathers changes for a
-    sixth of the time in which a leaving target must be known to leave.
+    """Entries change all the time, and each change would wake every gateway.
+    A gateway that receives reports of how new the placement leader's list is
+    batches changes for a sixth of the time within which a leaving target must
+    be known to leave.
     """
     calls = []
     for following in (False, True):
@@ -311,8 +316,8 @@
     autojump_clock, nursery
 ):
     """A fleet starts and its engines write their entries one after the other,
-    over four seconds.  Each would wake every gateway, which have nothing to
-    answer yet; the store counts and prices the calls of all.
+    over four seconds.  Each entry would wake every gateway, before any has a
+    request to serve, and the store counts and charges for all calls.
     """
     calls = []
     for seen in (True, False):
