--- a/magnoliacove/gateway/crashes.py
+++ b/magnoliacove/gateway/crashes.py
@@ -251,13 +251,13 @@
         A target that is draining ends in an orderly way, so what still runs
         there is not the cause.
         """
-        known = self._state.targets
-        listed = known.find(target.name)
+        targets = self._state.targets
+        listed = targets.find(target.name)
         suspicion = self._state.health.find(target.name)
         leaving = suspicion is not None and suspicion.leaving
         if target.draining or leaving or (listed and listed.draining):
             return False
-        if target.name in known.list_former():
+        if target.name in targets.list_former():
             return True
         with trio.move_on_after(_PROBE_TIMEOUT):
             try:
--- a/magnoliacove/gateway/engine_checks.py
+++ b/magnoliacove/gateway/engine_checks.py
@@ -168,7 +168,7 @@
                     target.name, f"no health check: {error}"
                 )
 
-    def forget(self, known: set[str]) -> None:
+    def forget(self, listed: set[str]) -> None:
         """Discard the state of targets that no longer exist."""
-        for name in set(self._checked_at) - known:
+        for name in set(self._checked_at) - listed:
             del self._checked_at[name]
