--- a/magnoliacove/gateway/gauges.py
+++ b/magnoliacove/gateway/gauges.py
@@ -1,4 +1,4 @@
-"""What a gateway's metrics tell of its beliefs."""
+"""The gauges of a gateway that are computed from its state."""
 
 import trio
 
@@ -8,11 +8,12 @@
 
 
 def read_gauges(state: GatewayState) -> dict[str, float]:
-    """Return the present value of each gauge that follows from the state."""
+    """Return the current value of each gauge."""
     table = state.routes
     return {
         "configuration_version": table.version if table else 0,
-        "configuration_age_seconds": trio.current_time() - state.routes_at,
+        "configuration_age_seconds": trio.current_time()
+        - state.routes_applied_at,
         "targets_listed": len(state.targets.list_all()),
         "targets_suspected": len(state.health.list_suspicions()),
         "targets_limited": len(state.backpressure.list_limits()),
--- a/magnoliacove/gateway/notices.py
+++ b/magnoliacove/gateway/notices.py
@@ -1,4 +1,4 @@
-"""Hearing what targets say of themselves, in whatever they answer."""
+"""Handling of the notices that targets attach to their answers."""
 
 from magnoliacove.directory.health import Health
 from magnoliacove.gateway.channels import Answer
@@ -6,23 +6,24 @@
 from magnoliacove.limits.backpressure import BackpressureBook
 from magnoliacove.platform.notices import read_notice
 
-__all__ = ["make_listener"]
+__all__ = ["make_notice_handler"]
 
-# Another target may have the address by now, and says nothing of this one.
-_NOT_THE_TARGET = 421
+# The status of a target that is not the addressed one.  Another target may
+# have the address by now, and its answer does not concern this one.
+_MISDIRECTED = 421
 
 
-def make_listener(book: BackpressureBook, health: Health) -> Hear:
-    """Return what is told of each answer: to requests, reports, orders.
+def make_notice_handler(book: BackpressureBook, health: Health) -> Hear:
+    """Return a handler for each answer to a request, report or order.
 
-    :param health: what the other gateways hear too.
+    :param health: suspicions, which are shared with the other gateways.
     """
 
-    def hear(target: str, answer: Answer, path: str, request: str) -> None:
+    def handle(target: str, answer: Answer, path: str, request: str) -> None:
         notice = read_notice(answer.status, answer.headers)
-        ends_limit = bool(request) and answer.status != _NOT_THE_TARGET
+        ends_limit = bool(request) and answer.status != _MISDIRECTED
         book.take(target, notice, path, ends_limit=ends_limit)
         if notice.leaving:
             health.suspect(target, "it says that it leaves", leaving=True)
 
-    return hear
+    return handle
--- a/magnoliacove/gateway/relay.py
+++ b/magnoliacove/gateway/relay.py
@@ -80,7 +80,7 @@
         self, exchange: Exchange, marks: headers.CallerHeaders
     ) -> _Outcome:
         try:
-            await self._state.wait_routes(_NOT_READY_PATIENCE)
+            await self._state.wait_for_routes(_NOT_READY_PATIENCE)
             routed = self._route(exchange, marks)
             await self._run(exchange, routed)
         except errors.RequestError as why:
@@ -153,7 +153,7 @@
     async def _run(self, exchange: Exchange, routed: RoutedRequest) -> None:
         state = self._state
         state.budget.note_request(routed.service.name)
-        state.unheard.note_request(routed.service.name)
+        state.unreported.note_request(routed.service.name)
         state.recorder.record(
             "request-arrived",
             request=routed.marks.request,
