--- a/tests/gateway/test_crashes.py
+++ b/tests/gateway/test_crashes.py
@@ -243,7 +243,7 @@
         await trio.sleep(1.6)
         book = stage.state.quarantine
         assert book.find("00000000000000ab") is not None
-        book._known.clear()
+        book._quarantines.clear()
         other = CrashedRun("00000000000000ac", 9, "i-9", 0.1)
         stage.crashes.record_reported_crash(other, 0.0)
         await trio.sleep(1.6)
--- a/tests/gateway/test_peering.py
+++ b/tests/gateway/test_peering.py
@@ -107,7 +107,7 @@
                 sequence=2 + reachable,
                 address=str(wire.Address("127.0.0.1", 2)),
             )
-            exchange.heartbeats._take_one(heartbeat)
+            exchange.heartbeats._handle(heartbeat)
             assert exchange.has_acting_peer_with_store() == reachable
 
 
@@ -123,11 +123,11 @@
         other = _make_heartbeat(
             name="z-3", address="127.0.0.1:3", store_reachable=False
         )
-        exchange.heartbeats._take_one(leaving)
-        exchange.heartbeats._take_one(other)
+        exchange.heartbeats._handle(leaving)
+        exchange.heartbeats._handle(other)
         assert exchange.is_fallback_leader()
         reached = _make_heartbeat(name="z-4", address="127.0.0.1:4")
-        exchange.heartbeats._take_one(reached)
+        exchange.heartbeats._handle(reached)
         assert not exchange.is_fallback_leader()
 
 
