--- a/magnoliacove/agent/caches.py
+++ b/magnoliacove/agent/caches.py
@@ -1,4 +1,4 @@
-"""Moving a stage's KV cache from one agent to another."""
+"""Transfer of a stage's KV cache from one agent to another."""
 
 from typing import Protocol
 
@@ -17,7 +17,7 @@
     async def fetch_cache(
         self, address: str, request: messages.FetchCache
     ) -> messages.Cache | None:
-        """Take a stage's KV cache from another agent, or None."""
+        """Return a stage's KV cache from another agent, or None."""
 
 
 async def import_cache(
@@ -26,35 +26,36 @@
     source: CacheSource,
     recorder: Recorder,
 ) -> None:
-    """Begin a stage with the cache of the agent that held it before.
+    """Load the KV cache that the stage's previous agent exports.
 
-    Without one the stage stays empty and its steps are replayed.
+    If no cache can be imported, the stage stays empty and its steps are
+    replayed.
     """
     request = messages.FetchCache(stage.stream, stage.attempt)
     address = stage.opened.import_address
     cache = await source.fetch_cache(address, request)
     if cache is None or not cache.found:
-        # Without the export the neighbour's kept outputs rebuild the
-        # cache: slower, and the caller sees the same answer.
+        # The outputs that the previous stage retains rebuild the cache
+        # instead.  That is slower but gives the caller the same answer.
         recorder.record(
             "cache-not-imported",
             request=stage.stream,
-            why=f"{address} gave none; the steps are replayed instead",
+            why=f"{address} returned no cache; replaying the steps instead",
         )
         return
     try:
         await engine.import_cache(
             stage.engine_stream, cache.next_step, cache.data
         )
-    except targets.EngineError as why:
+    except targets.EngineError as exc:
         recorder.record(
-            "cache-not-imported", request=stage.stream, why=str(why)
+            "cache-not-imported", request=stage.stream, why=str(exc)
         )
         return
     stage.next_step = cache.next_step
     first = cache.next_step - len(cache.outputs)
     for index, data in enumerate(cache.outputs):
-        stage.keep(_unpack(first + index, data))
+        stage.retain(_unpack_output(first + index, data))
     recorder.record(
         "cache-imported", request=stage.stream, steps=cache.next_step
     )
@@ -68,30 +69,30 @@
 ) -> messages.Cache | None:
     """Return a stage's cache for the agent that takes it over, or None.
 
-    The stage runs no further step, whether it can be exported or not.
+    The stage runs no further steps, even if the export fails.
     """
-    # The stage must not apply another step once its cache is copied:
-    # the copy would lack it and the layers would run it twice.
+    # The stage must not apply another step once its cache is copied.  The
+    # copy would lack that step, and the layers would run it twice.
     stage.attempt = request.attempt
     stage.inbox.clear()
     await stage.idle.wait()
     try:
         step, data = await engine.export_cache(stage.engine_stream)
-    except targets.EngineError as why:
+    except targets.EngineError as exc:
         recorder.record(
-            "cache-not-exported", request=stage.stream, why=str(why)
+            "cache-not-exported", request=stage.stream, why=str(exc)
         )
         return None
-    kept = tuple(_pack(output) for output in stage.outputs)
+    outputs = tuple(_pack_output(output) for output in stage.outputs)
     recorder.record("cache-exported", request=stage.stream, steps=step)
     return messages.Cache(
-        request.stream, request.attempt, step, data, kept, True
+        request.stream, request.attempt, step, data, outputs, True
     )
 
 
-def _pack(output: Output) -> bytes:
+def _pack_output(output: Output) -> bytes:
     return bytes([output.token, output.end]) + output.data
 
 
-def _unpack(step: int, data: bytes) -> Output:
+def _unpack_output(step: int, data: bytes) -> Output:
     return Output(step, data[2:], bool(data[0]), bool(data[1]))
--- a/magnoliacove/agent/calls.py
+++ b/magnoliacove/agent/calls.py
@@ -1,4 +1,7 @@
-"""Calls to a plain service: admission, at most once, answers in parts."""
+"""Calls to a plain service.
+
+Covers admission, at-most-once execution and answers sent in parts.
+"""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -10,59 +13,63 @@
 from magnoliacove import errors
 from magnoliacove import targets
 from magnoliacove import wire
-from magnoliacove.agent.keeper import KeyKeeper
-from magnoliacove.agent.keeper import KeyRequest
-from magnoliacove.agent.keeper import make_refusal
+from magnoliacove.agent.key_registry import KeyRegistry
+from magnoliacove.agent.key_registry import KeyRequest
+from magnoliacove.agent.key_registry import make_refusal
 from magnoliacove.agent.keys import KeyUse
 from magnoliacove.timeline import Recorder
 from magnoliacove.wire import messages
 
 __all__ = ["CallRunner"]
 
-_PART = 64 * 1024
+# Bytes of an answer's body in one message.
+_MAX_PART_SIZE = 64 * 1024
+# Weight of the newest call in the moving average of call durations.
 _SMOOTHING = 0.2
 
-Send = Callable[[messages.Answer], Awaitable[None]]
+SendPart = Callable[[messages.Answer], Awaitable[None]]
 
 
 class CallRunner:
-    """The calls to one plain service's instance.
+    """Runs calls on one instance of a plain service.
 
     :param name: the target's name.
+    :param is_leaving: returns whether new calls are refused.
+    :param max_calls: calls that may run at a time.
     """
 
     def __init__(
         self,
         name: str,
         target: targets.PlainTarget,
-        keeper: KeyKeeper,
+        keys: KeyRegistry,
         recorder: Recorder,
         is_leaving: Callable[[], bool],
         *,
-        most_calls: int = defaults.CALLS_PER_TARGET,
+        max_calls: int = defaults.CALLS_PER_TARGET,
     ) -> None:
         self.runs = 0
         self.call_seconds = 0.0
         self._name = name
         self._target = target
-        self._keeper = keeper
+        self._keys = keys
         self._recorder = recorder
         self._is_leaving = is_leaving
-        self._most_calls = most_calls
+        self._max_calls = max_calls
         self._running: dict[bytes, trio.CancelScope] = {}
 
     @property
     def load(self) -> messages.Load:
-        """What this agent reports of its load."""
+        """The load that this agent reports."""
         return messages.Load(
             len(self._running),
-            max(0, len(self._running) - self._most_calls),
+            max(0, len(self._running) - self._max_calls),
             int(self.call_seconds * 1e6),
             self._is_leaving(),
         )
 
     def cancel(self, request: bytes) -> None:
-        """Stop a call that nobody waits for."""
+        """Cancel a call whose caller no longer waits for it."""
         scope = self._running.get(request)
         if scope is not None:
             scope.cancel()
@@ -73,24 +80,25 @@
         """Run one call and send its answer."""
         try:
             if call.idempotent or not call.key:
-                await self._run_plain(connection, call)
+                await self._run_unkeyed(connection, call)
             else:
                 await self._run_keyed(connection, call)
-        except errors.RequestError as why:
-            self._refuse(connection, call, why)
+        except errors.RequestError as exc:
+            self._refuse(connection, call, exc)
         except errors.PeerError:
-            # The entry is gone.  Its caller asks again through another
-            # one, and finds a keyed answer here.
+            # The connection to the entry is lost.  The caller retries
+            # through another entry, and a call with a key finds its
+            # recorded answer here.
             return
 
-    async def _run_plain(
+    async def _run_unkeyed(
         self, connection: wire.Connection, call: messages.Call
     ) -> None:
         self._admit()
         with trio.CancelScope() as scope:
             self._running[call.request] = scope
             try:
-                status = await self._pass_on(call, connection.send)
+                status = await self._forward(call, connection.send)
             finally:
                 del self._running[call.request]
         if scope.cancelled_caught:
@@ -101,7 +109,7 @@
     async def _run_keyed(
         self, connection: wire.Connection, call: messages.Call
     ) -> None:
-        use = await self._keeper.take(
+        use = await self._keys.acquire(
             KeyRequest(
                 call.request,
                 call.service,
@@ -118,7 +126,7 @@
         try:
             self._admit()
         except errors.RequestError:
-            self._keeper.cancel(use)
+            self._keys.cancel(use)
             raise
         await self._run_once(connection, call, use)
 
@@ -140,29 +148,29 @@
     async def _run_once(
         self, connection: wire.Connection, call: messages.Call, use: KeyUse
     ) -> None:
-        """Run a keyed call, whatever becomes of its entry.
+        """Run a call with a key to its end, even if its entry fails.
 
-        The call goes on when the entry dies: half a bid cannot be taken
-        back, and the caller's next try must find the whole answer.
+        A call that is interrupted halfway cannot be undone, for example
+        a bid, and the caller's next attempt must find the whole answer.
         """
         self._running[call.request] = trio.CancelScope()
         parts: list[messages.Answer] = []
 
-        async def note(part: messages.Answer) -> None:
+        async def collect(part: messages.Answer) -> None:
             parts.append(part)
 
         try:
-            status = await self._pass_on(call, note)
-        except errors.RequestError as why:
-            if why.outcome is errors.Outcome.NOT_RUN:
-                self._keeper.cancel(use)
+            status = await self._forward(call, collect)
+        except errors.RequestError as exc:
+            if exc.outcome is errors.Outcome.NOT_RUN:
+                self._keys.cancel(use)
             else:
-                self._keeper.finish(use, None, 0)
+                self._keys.finish(use, None, 0)
             raise
         finally:
             del self._running[call.request]
         size = sum(len(part.body) for part in parts)
-        self._keeper.finish(use, tuple(parts), size)
+        self._keys.finish(use, tuple(parts), size)
         self._recorder.record(
             "call-ran", request=call.request, status=status, key=call.key
         )
@@ -174,13 +182,13 @@
             raise errors.RequestError(
                 "draining", "this instance leaves", retry_after=1.0
             )
-        if len(self._running) >= self._most_calls:
+        if len(self._running) >= self._max_calls:
             raise errors.RequestError(
                 "overloaded", "this instance is full", retry_after=1.0
             )
 
-    async def _pass_on(self, call: messages.Call, send: Send) -> int:
-        """Run a call at the target, send the parts, return the status."""
+    async def _forward(self, call: messages.Call, send: SendPart) -> int:
+        """Run a call on the target, send its answer and return the status."""
         started = trio.current_time()
         timeout = call.deadline / 1000
         self.runs += 1
@@ -207,11 +215,11 @@
                 status=504,
                 outcome=errors.Outcome.MAY_HAVE_RUN,
             )
-        self._note_time(trio.current_time() - started)
+        self._record_duration(trio.current_time() - started)
         await send(messages.Answer(call.request, 0, load=self.load))
         return answer.status
 
-    def _note_time(self, seconds: float) -> None:
+    def _record_duration(self, seconds: float) -> None:
         if not self.call_seconds:
             self.call_seconds = seconds
         self.call_seconds += _SMOOTHING * (seconds - self.call_seconds)
@@ -220,24 +228,24 @@
         self,
         connection: wire.Connection,
         call: messages.Call,
-        why: errors.RequestError,
+        error: errors.RequestError,
     ) -> None:
         self._recorder.record(
             "call-refused",
             request=call.request,
             target=self._name,
-            why=f"{why.code}: {why}",
-            outcome=why.outcome,
+            why=f"{error.code}: {error}",
+            outcome=error.outcome,
         )
         try:
-            connection.post(make_refusal(call.request, why))
+            connection.post(make_refusal(call.request, error))
         except errors.PeerError:
             return
 
 
-async def _send_chunk(request: bytes, chunk: bytes, send: Send) -> None:
-    for at in range(0, len(chunk), _PART):
-        body = chunk[at : at + _PART]
+async def _send_chunk(request: bytes, chunk: bytes, send: SendPart) -> None:
+    for start in range(0, len(chunk), _MAX_PART_SIZE):
+        body = chunk[start : start + _MAX_PART_SIZE]
         await send(messages.Answer(request, 0, (), body, True))
 
 
--- a/magnoliacove/agent/keeper.py
+++ b/magnoliacove/agent/key_registry.py
@@ -1,4 +1,4 @@
-"""Taking idempotency keys at the agent that owns them."""
+"""Use of idempotency keys at the agent that owns them."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -15,26 +15,28 @@
 from magnoliacove.timeline import Recorder
 from magnoliacove.wire import messages
 
-__all__ = ["KeyKeeper", "KeyRequest", "Vouchers"]
+__all__ = ["FormerOwners", "KeyRegistry", "KeyRequest"]
 
-_VERSION_WAIT = 2.0
+# Seconds to wait for the configuration version that a request names.
+_VERSION_TIMEOUT = 2.0
 
 
-class Vouchers(Protocol):
-    """Asks the former owner of a key."""
+class FormerOwners(Protocol):
+    """Queries the former owners of keys."""
 
     async def ask_former_owner(
         self, target: str, request: messages.Vouch
     ) -> bool | None:
-        """Return whether it saw the key, or None when it cannot say."""
+        """Return whether the target saw the key, or None if unknown."""
 
 
 @dataclass(frozen=True)
 class KeyRequest:
-    """A request that wants to take a key.
+    """A request to acquire an idempotency key.
 
-    :param digest: tells a key that is used for another request.
-    :param patience: seconds to wait for an earlier try that still runs.
+    :param digest: of the request; detects a key that is reused for another
+        request.
+    :param timeout: seconds to wait for an earlier attempt that still runs.
     """
 
     request: bytes
@@ -42,74 +44,77 @@
     account: str
     key: str
     digest: bytes
-    patience: float
+    timeout: float
     configuration_version: int
 
     @property
     def table_key(self) -> str:
-        """The key's name among those of all accounts and services."""
+        """The key, made unique across accounts and services."""
         return f"{self.account}\0{self.service}\0{self.key}"
 
 
-class KeyKeeper:
-    """The keys that one agent owns.
+class KeyRegistry:
+    """The idempotency keys that one agent owns.
 
     :param name: the agent's target.
+    :param former_owners: queries the agents that owned a key earlier.
+    :param window: seconds for which a key is remembered.
     """
 
     def __init__(
         self,
         name: str,
-        vouchers: Vouchers,
+        former_owners: FormerOwners,
         view: View,
         recorder: Recorder,
         *,
         window: float = defaults.KEY_WINDOW,
     ) -> None:
-        self.refused_unknown = 0
+        self.unknown_refusals = 0
         self._name = name
-        self._vouchers = vouchers
+        self._former_owners = former_owners
         self._view = view
         self._recorder = recorder
         self._window = window
         self._table = keys.KeyTable(window=window)
         self._ownerships: dict[str, keys.Ownership] = {}
-        self._contact: float | None = None
+        self._first_contact: float | None = None
         self._claims: dict[bytes, tuple[wire.Connection, keys.KeyUse]] = {}
-        view.listen(self._note_configuration)
-        self._note_configuration()
+        view.listen(self._update_configuration)
+        self._update_configuration()
 
     @property
-    def held(self) -> int:
-        """How many keys are remembered."""
+    def key_count(self) -> int:
+        """The number of keys that are remembered."""
         return len(self._table)
 
-    def note_contact(self) -> None:
-        """Note that an entry connected; only the first time counts.
+    def record_first_contact(self) -> None:
+        """Record the time at which the first entry connects.
 
-        From then on keys may arrive.  The time is not read before, since
-        the entry's hello moves our clock forward if it is behind: a start
-        that looks too early would let a key that this agent's predecessor
-        ran pass as newer, and run again.
+        Later calls have no effect.  Keys may arrive from the first
+        connection on.  The time is not read earlier because the entry's
+        hello moves this agent's clock forward if it is behind.  With a
+        start time that is too early, a key that this agent's predecessor
+        ran would count as newer than the start and run again.
         """
-        if self._contact is None:
-            self._contact = self._recorder.clock.seconds()
+        if self._first_contact is None:
+            self._first_contact = self._recorder.clock.seconds()
 
-    def read_contact(self) -> float:
-        """Return when the first entry connected, or now before that."""
-        if self._contact is None:
+    def get_first_contact(self) -> float:
+        """Return when the first entry connected, or the present time."""
+        if self._first_contact is None:
             return self._recorder.clock.seconds()
-        return self._contact
+        return self._first_contact
 
-    # Taking keys.
+    # Acquiring keys.
 
-    async def take(self, request: KeyRequest) -> keys.KeyUse:
-        """Take a key, or return what an earlier try of it led to.
+    async def acquire(self, request: KeyRequest) -> keys.KeyUse:
+        """Acquire a key, or return the result of an earlier attempt.
 
-        :returns: a use whose ``done`` is not set when the caller is to run
-            the request, and one with a record when it ran before.
-        :raises magnoliacove.errors.RequestError: when the key may not run;
-            the outcome tells whether it may have run earlier.
+        :returns: a use whose ``done`` is not set if the caller has to run
+            the request, or one with a record if the request ran before.
+        :raises magnoliacove.errors.RequestError: if the request must not
+            run; the outcome states whether it may have run earlier.
         """
         ownership = await self._require_owned(request)
         while True:
@@ -120,7 +125,7 @@
                 continue
             await self._require_unused(request, ownership)
             if self._table.find(request.table_key) is not None:
-                # Another try came while the former owner was asked.
+                # Another attempt arrived while the former owner was queried.
                 continue
             if self._table.full:
                 raise errors.RequestError(
@@ -131,16 +136,16 @@
             return self._table.begin(request.table_key, request.digest)
 
     def cancel(self, use: keys.KeyUse) -> None:
-        """Free a key whose request surely did not run."""
+        """Release a key whose request is known not to have run."""
         self._table.cancel(use)
 
     def finish(self, use: keys.KeyUse, record: Any, size: int) -> None:
-        """Note that a key's request ran, and its answer if it is known."""
+        """Record that a key's request ran, and its answer if known."""
         self._table.finish(use, record, size)
 
     async def _require_owned(self, request: KeyRequest) -> keys.Ownership:
         current = await self._view.wait_version(
-            request.configuration_version, _VERSION_WAIT
+            request.configuration_version, _VERSION_TIMEOUT
         )
         ownership = self._ownerships.get(request.service)
         if current and ownership is not None and ownership.owns(request.key):
@@ -155,7 +160,7 @@
     async def _await_earlier(
         self, request: KeyRequest, use: keys.KeyUse
     ) -> bool:
-        """Wait for an earlier try; return False if its key is free again."""
+        """Wait for an earlier attempt; return False if it released the key."""
         if use.digest != request.digest:
             raise errors.RequestError(
                 "key_reused",
@@ -163,7 +168,7 @@
                 "new key for each request",
                 status=422,
             )
-        with trio.move_on_after(request.patience):
+        with trio.move_on_after(request.timeout):
             await use.done.wait()
         if self._table.find(use.key) is not use:
             return False
@@ -180,37 +185,39 @@
         self, request: KeyRequest, ownership: keys.Ownership
     ) -> None:
         await self._await_mint_time(request, ownership)
-        verdict, former = ownership.judge(request.key)
-        if verdict is keys.Verdict.MAY_HAVE_RUN:
+        decision, former = ownership.decide(request.key)
+        if decision is keys.Decision.MAY_HAVE_RUN:
             self._raise_unknown(
                 request,
                 "this instance started after the key may have been used",
             )
         for target in former:
-            await self._ask(request, target)
+            await self._require_unused_by(request, target)
 
     async def _await_mint_time(
         self, request: KeyRequest, ownership: keys.Ownership
     ) -> None:
-        """Wait until the time at which a key says that it was minted.
+        """Wait until the mint time that a key contains has passed.
 
-        A caller's clock may be ahead of ours.  Run at once, its key would
-        count as newer than a change of owner that is still to come, and
-        the next owner would run it again.
+        A caller's clock may be ahead of this agent's clock.  If its key
+        ran at once, it would count as newer than a change of owner that is
+        still to come, and the next owner would run it again.
         """
-        lead = ownership.lead(request.key)
-        if lead > defaults.KEY_MOST_AHEAD:
+        ahead = ownership.get_seconds_ahead(request.key)
+        if ahead > defaults.KEY_MOST_AHEAD:
             raise errors.RequestError(
                 "key_from_future",
-                f"the idempotency key was minted by a clock {lead:.0f} s "
+                f"the idempotency key was minted by a clock {ahead:.0f} s "
                 "ahead of ours; set the clock right and mint a new key",
                 status=400,
             )
-        while lead > 0:
-            await trio.sleep(lead)
-            lead = ownership.lead(request.key)
+        while ahead > 0:
+            await trio.sleep(ahead)
+            ahead = ownership.get_seconds_ahead(request.key)
 
-    async def _ask(self, request: KeyRequest, target: str) -> None:
+    async def _require_unused_by(
+        self, request: KeyRequest, target: str
+    ) -> None:
         question = messages.Vouch(
             request.request,
             request.service,
@@ -218,7 +225,7 @@
             request.key,
             self._view.version,
         )
-        seen = await self._vouchers.ask_former_owner(target, question)
+        seen = await self._former_owners.ask_former_owner(target, question)
         if seen is None:
             self._raise_unknown(
                 request, f"the former owner {target} is silent"
@@ -226,26 +233,26 @@
         if seen:
             self._raise_unknown(request, f"the former owner {target} saw it")
 
-    def _raise_unknown(self, request: KeyRequest, why: str) -> None:
-        self.refused_unknown += 1
+    def _raise_unknown(self, request: KeyRequest, reason: str) -> None:
+        self.unknown_refusals += 1
         self._recorder.record(
-            "key-unknown", request=request.request, key=request.key, why=why
+            "key-unknown", request=request.request, key=request.key, why=reason
         )
         raise errors.RequestError(
             "may_have_run",
-            f"an earlier try with this key may have run: {why}. Look the "
+            f"an earlier try with this key may have run: {reason}. Look the "
             "result up before you use a new key; keys that are UUIDs of "
             "version 7 or ULIDs are refused least",
             status=409,
             outcome=errors.Outcome.MAY_HAVE_RUN,
         )
 
-    # Claims of entries, for requests to models.
+    # Claims by entries, for requests to models.
 
     async def claim(
         self, connection: wire.Connection, claim: messages.Claim
     ) -> None:
-        """Take a key for an entry that runs the request itself."""
+        """Acquire a key for an entry that runs the request itself."""
         request = KeyRequest(
             claim.request,
             claim.service,
@@ -256,9 +263,9 @@
             claim.configuration_version,
         )
         try:
-            use = await self.take(request)
-        except errors.RequestError as why:
-            _post(connection, make_refusal(claim.request, why))
+            use = await self.acquire(request)
+        except errors.RequestError as exc:
+            _post(connection, make_refusal(claim.request, exc))
             return
         if use.done.is_set():
             _post(
@@ -267,43 +274,43 @@
             return
         self._claims[claim.request] = (connection, use)
         if connection.closed:
-            self.note_entry_lost(connection)
+            self.drop_entry(connection)
             return
         _post(connection, messages.Claimed(claim.request))
 
     def finish_claim(self, done: messages.ClaimDone) -> None:
-        """Note what became of a claimed key's request."""
-        found = self._claims.pop(done.request, None)
-        if found is None:
+        """Record the result of a claimed key's request."""
+        claim = self._claims.pop(done.request, None)
+        if claim is None:
             return
         if not done.ran:
-            self.cancel(found[1])
+            self.cancel(claim[1])
             return
-        self.finish(found[1], done.record or None, len(done.record))
+        self.finish(claim[1], done.record or None, len(done.record))
 
-    def note_entry_lost(self, connection: wire.Connection) -> None:
-        """Give up the claims of an entry whose connection ended.
+    def drop_entry(self, connection: wire.Connection) -> None:
+        """Finish the claims of an entry whose connection ended.
 
-        Nobody will say any more what became of them, so a later try is
-        told that the request may have run.
+        The results of the claimed requests will not be reported any more,
+        so a later attempt is refused because the request may have run.
         """
-        for name, (source, use) in tuple(self._claims.items()):
-            if source is connection:
+        for name, (claimant, use) in tuple(self._claims.items()):
+            if claimant is connection:
                 del self._claims[name]
                 self.finish(use, None, 0)
 
-    # Vouching.
+    # Queries by new owners.
 
-    async def vouch(
+    async def report_use(
         self, connection: wire.Connection, request: messages.Vouch
     ) -> None:
-        """Tell a key's new owner whether it ever ran here.
+        """Report to a key's new owner whether the key was used here.
 
-        The answer waits until this agent has the asker's configuration:
-        from then on it refuses the key itself.
+        The answer waits until this agent has the configuration of the new
+        owner.  From then on this agent refuses the key itself.
         """
         current = await self._view.wait_version(
-            request.configuration_version, _VERSION_WAIT
+            request.configuration_version, _VERSION_TIMEOUT
         )
         ownership = self._ownerships.get(request.service)
         if not current or ownership is None or ownership.owns(request.key):
@@ -311,14 +318,15 @@
         name = f"{request.account}\0{request.service}\0{request.key}"
         seen = self._table.find(name) is not None
         if not seen:
-            # A young agent may have forgotten it with its predecessor.
-            verdict, _ = ownership.judge(request.key)
-            seen = verdict is keys.Verdict.MAY_HAVE_RUN
+            # The predecessor of this agent may have run the key if this
+            # agent started recently.
+            decision, _ = ownership.decide(request.key)
+            seen = decision is keys.Decision.MAY_HAVE_RUN
         _post(connection, messages.Vouched(request.request, seen))
 
     # Ownership.
 
-    def _note_configuration(self) -> None:
+    def _update_configuration(self) -> None:
         document = self._view.document
         if not document.version:
             return
@@ -333,30 +341,32 @@
             if name not in self._ownerships:
                 self._ownerships[name] = keys.Ownership(
                     self._name,
-                    self.read_contact,
+                    self.get_first_contact,
                     self._recorder.clock.seconds,
                     window=self._window,
                 )
-            self._ownerships[name].note_targets(
-                frozenset(targets), pristine=self._saw_creation(name)
+            self._ownerships[name].update_targets(
+                frozenset(targets), service_is_new=self._is_newer_service(name)
             )
 
-    def _saw_creation(self, service: str) -> bool:
+    def _is_newer_service(self, service: str) -> bool:
         first = self._view.first_stored
-        held = self._view.document.held[(configuration.Service.kind, service)]
-        return first is not None and held.created > first
+        item = self._view.document.held[(configuration.Service.kind, service)]
+        return first is not None and item.created > first
 
 
-def make_refusal(request: bytes, why: errors.RequestError) -> messages.Refused:
-    """Return the message that carries an error to an entry."""
+def make_refusal(
+    request: bytes, error: errors.RequestError
+) -> messages.Refused:
+    """Return the message that reports an error to an entry."""
     return messages.Refused(
         request,
         0,
-        why.outcome,
-        why.code,
-        str(why),
-        int((why.retry_after or 0) * 1000),
-        why.status,
+        error.outcome,
+        error.code,
+        str(error),
+        int((error.retry_after or 0) * 1000),
+        error.status,
     )
 
 
@@ -364,5 +374,6 @@
     try:
         connection.post(message)
     except errors.PeerError:
-        # The entry is gone.  Its caller's next try comes through another.
+        # The connection to the entry is lost.  The caller's next attempt
+        # arrives through another entry.
         return
--- a/magnoliacove/agent/neighbours.py
+++ b/magnoliacove/agent/neighbours.py
@@ -1,4 +1,4 @@
-"""An agent's connections to the agents of the next stages."""
+"""An agent's connections to other agents."""
 
 from collections.abc import Callable
 from typing import TypeVar
@@ -16,15 +16,20 @@
 __all__ = ["NeighbourLinks"]
 
 _T = TypeVar("_T")
-_FETCH_TIMEOUT = 10.0
-_KNOWN_DOWN = 0.1
+# Seconds to wait for the answer to a request to another agent.
+_REQUEST_TIMEOUT = 10.0
+# Seconds to wait for a connection whose last attempt failed.
+_RECONNECT_TIMEOUT = 0.1
+# Seconds to wait for the answer to a check of an open connection.
 _VERIFY_TIMEOUT = 0.4
 
 
 class NeighbourLinks:
-    """Dials other agents when a stage needs them.
+    """Opens connections to other agents when a stage needs them.
 
-    :param went_down: called with a name and a reason when a link is lost.
+    :param make_hello: returns the first message on a new connection.
+    :param on_link_lost: called with an agent's name and a reason when the
+        connection to it is lost.
     """
 
     def __init__(
@@ -32,21 +37,21 @@
         network: wire.Network,
         recorder: Recorder,
         view: View,
-        hello: Callable[[], messages.Hello],
-        went_down: Callable[[str, str], None],
+        make_hello: Callable[[], messages.Hello],
+        on_link_lost: Callable[[str, str], None],
     ) -> None:
         self._network = network
         self._recorder = recorder
         self._view = view
-        self._hello = hello
-        self._went_down = went_down
+        self._make_hello = make_hello
+        self._on_link_lost = on_link_lost
         self._peers: dict[str, wire.Peer] = {}
         self._nursery: trio.Nursery | None = None
 
     async def run(
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Hold the connections until cancelled."""
+        """Keep the connections open until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             task_status.started()
@@ -57,9 +62,9 @@
     ) -> bool:
         """Open a connection if there is none; return whether it is up.
 
-        :param verify: whether an open connection is asked for a sign of
-            life first: a stream that stalled may have lost its steps on a
-            connection that is silent and not yet found to be.
+        :param verify: whether to check first that an open connection still
+            answers.  A stream that stalled may have lost its steps on a
+            connection that is unresponsive but not yet detected as such.
         """
         peer = self._peers.get(address)
         if peer is None:
@@ -69,11 +74,13 @@
             if not await connection.check(_VERIFY_TIMEOUT):
                 connection.close()
                 await trio.lowlevel.checkpoint()
-        # A neighbour that could not be reached a moment ago is being
-        # dialled already; waiting for it would delay each new stream.
-        known_down = peer.failures > 0
-        limit = _KNOWN_DOWN if known_down else defaults.CONNECT_TIMEOUT
-        with trio.move_on_after(limit):
+        # The peer already retries a connection that failed recently.
+        # Waiting longer for it would delay each new stream.
+        is_failing = peer.failures > 0
+        timeout = (
+            _RECONNECT_TIMEOUT if is_failing else defaults.CONNECT_TIMEOUT
+        )
+        with trio.move_on_after(timeout):
             await peer.wait_up()
         return peer.up
 
@@ -87,30 +94,32 @@
     async def fetch_cache(
         self, address: str, request: messages.FetchCache
     ) -> messages.Cache | None:
-        """Take a stage's KV cache from another agent, or None."""
-        return await self._ask(address, request, messages.Cache)
+        """Return a stage's KV cache from another agent, or None."""
+        return await self._request(address, request, messages.Cache)
 
     async def ask_former_owner(
         self, target: str, request: messages.Vouch
     ) -> bool | None:
-        """Return whether it saw the key, or None when it cannot say."""
+        """Return whether the target saw the key, or None if unknown."""
         instance = self._view.find_instance(target)
         if instance is None:
             return None
-        answer = await self._ask(instance.address, request, messages.Vouched)
+        answer = await self._request(
+            instance.address, request, messages.Vouched
+        )
         return answer.seen if answer else None
 
-    async def _ask(
+    async def _request(
         self, address: str, request: messages.Message, kind: type[_T]
     ) -> _T | None:
         return await wire.ask(
             self._network,
             wire.Address.parse(address),
             self._recorder.clock,
-            self._hello,
+            self._make_hello,
             request,
             kind,
-            _FETCH_TIMEOUT,
+            _REQUEST_TIMEOUT,
         )
 
     def _start_peer(self, name: str, address: str) -> wire.Peer:
@@ -120,25 +129,25 @@
             wire.Address.parse(address),
             self._network,
             self._recorder,
-            self._hello,
+            self._make_hello,
             _ignore,
-            went_down=self._note_down,
-            read_pace=self._read_pace,
+            went_down=self._handle_peer_down,
+            read_pace=self._get_heartbeat_interval,
         )
         self._peers[address] = peer
         self._nursery.start_soon(peer.run)
         return peer
 
-    def _read_pace(self, active: bool) -> float:
-        """Return the seconds between heartbeats on a quiet connection."""
-        size = len(self._peers) * defaults.HEARTBEAT_BYTES
-        return size / defaults.CONTROL_BUDGET * (1 if active else 4)
+    def _get_heartbeat_interval(self, active: bool) -> float:
+        """Return the seconds between heartbeats on an idle connection."""
+        traffic = len(self._peers) * defaults.HEARTBEAT_BYTES
+        return traffic / defaults.CONTROL_BUDGET * (1 if active else 4)
 
-    def _note_down(self, peer: wire.Peer, reason: str) -> None:
+    def _handle_peer_down(self, peer: wire.Peer, reason: str) -> None:
         if peer.failures == 1:
-            self._went_down(peer.name, reason)
+            self._on_link_lost(peer.name, reason)
         if peer.failures > 3:
-            # The instance was replaced; its successor has another address.
+            # The instance has been replaced by one at another address.
             self._peers.pop(str(peer.address), None)
             peer.stop()
 
--- a/magnoliacove/agent/process.py
+++ b/magnoliacove/agent/process.py
@@ -1,4 +1,4 @@
-"""The agent: one process beside each target."""
+"""The agent process, which runs beside each target and serves it."""
 
 from collections.abc import Sequence
 import contextlib
@@ -16,9 +16,9 @@
 from magnoliacove import targets
 from magnoliacove import wire
 from magnoliacove.agent.calls import CallRunner
-from magnoliacove.agent.keeper import KeyKeeper
+from magnoliacove.agent.key_registry import KeyRegistry
 from magnoliacove.agent.neighbours import NeighbourLinks
-from magnoliacove.agent.orders import OrderGate
+from magnoliacove.agent.orders import OrderExecutor
 from magnoliacove.agent.runner import StageRunner
 from magnoliacove.metrics import Meters
 from magnoliacove.metrics import serve_meters
@@ -32,12 +32,14 @@
 
 @dataclass(frozen=True)
 class AgentParts:
-    """What an agent is put together from.
+    """The parts from which an agent is built.
 
-    :param engine: the model engine beside it, or None.
-    :param plain: the plain service's instance beside it, or None.
-    :param seeds: entries to ask when the platform's store is down.
+    :param engine: the model engine beside the agent, or None.
+    :param plain: the plain service's instance beside the agent, or None.
+    :param seeds: addresses of entries to subscribe to when the platform's
+        store is unreachable.
     :param meters: a listening socket for metrics, or None.
+    :param key_window: seconds for which an idempotency key is remembered.
     """
 
     identity: Identity
@@ -52,7 +54,7 @@
 
 
 class Agent:
-    """Serves one target to the entries and to other agents."""
+    """Makes one target available to entries and to other agents."""
 
     def __init__(self, parts: AgentParts) -> None:
         self.process = Process(
@@ -66,7 +68,7 @@
             recorder,
             self.process.view,
             self.process.make_hello,
-            self._note_link_down,
+            self._handle_link_lost,
         )
         name = parts.identity.name
         self.stages = self.calls = self.orders = None
@@ -79,8 +81,10 @@
                 self.is_leaving,
                 count_layers=self._count_layers,
             )
-            self.orders = OrderGate(name, parts.engine, parts.api, recorder)
-        self.keeper = KeyKeeper(
+            self.orders = OrderExecutor(
+                name, parts.engine, parts.api, recorder
+            )
+        self.keys = KeyRegistry(
             name,
             self.links,
             self.process.view,
@@ -89,13 +93,13 @@
         )
         if parts.plain is not None:
             self.calls = CallRunner(
-                name, parts.plain, self.keeper, recorder, self.is_leaving
+                name, parts.plain, self.keys, recorder, self.is_leaving
             )
         self._nursery: trio.Nursery | None = None
 
     @property
     def load(self) -> messages.Load:
-        """What this agent reports of its load."""
+        """The load that this agent reports."""
         runner = self.stages or self.calls
         return runner.load if runner else messages.Load()
 
@@ -106,7 +110,7 @@
         return target.end_layer - target.first_layer if target else 0
 
     def is_leaving(self) -> bool:
-        """Return whether this instance is to get no new work."""
+        """Return whether this instance refuses new work."""
         return self.process.leaving or self.process.view.is_leaving(
             self.process.identity.name
         )
@@ -129,15 +133,16 @@
                 process.view,
                 process.describe(),
             )
-            nursery.start_soon(self._follow_entries)
-            nursery.start_soon(self._tell_load)
+            nursery.start_soon(self._subscribe_to_entries)
+            nursery.start_soon(self._announce_leaving)
             process.recorder.record("started", why=str(address))
             task_status.started(address)
 
     async def drain(self) -> None:
-        """Take no new work and return once nothing is in progress.
+        """Refuse new work and return once no work is in progress.
 
-        Streams that last longer are moved away by their entries.
+        Entries move streams that take longer to other targets.  The drain
+        ends after a timeout in any case.
         """
         process = self.process
         process.leaving = True
@@ -152,18 +157,18 @@
                 await trio.sleep(0.05)
         process.recorder.record(
             "drained",
-            why="it took too long" if scope.cancelled_caught else "",
+            why="timed out" if scope.cancelled_caught else "",
             left=self.load.running,
         )
-        process.view.adopt_entries([gone := process.describe("gone")])
+        process.view.adopt_entries([removed := process.describe("gone")])
         process.tell_connected(
-            messages.Instances((directory.write_entry(gone),))
+            messages.Instances((directory.write_entry(removed),))
         )
         with trio.move_on_after(defaults.STORE_TIMEOUT):
             with contextlib.suppress(
                 errors.PlatformError, platform.VersionConflictError
             ):
-                await process.api.delete(gone.object_name)
+                await process.api.delete(removed.object_name)
         await trio.sleep(0.05)
         self.drained.set()
 
@@ -175,26 +180,28 @@
         await self.process.listen(
             self._handle,
             self._make_pong,
-            self._gone,
-            self._note_ready,
+            self._handle_connection_lost,
+            self._handle_ready,
             task_status=task_status,
         )
 
     def _make_pong(self, sequence: int) -> messages.Pong:
         return messages.Pong(sequence, self.process.view.version, self.load)
 
-    def _note_ready(self, connection: wire.Connection) -> None:
+    def _handle_ready(self, connection: wire.Connection) -> None:
         remote = connection.remote
         if remote is not None and remote.role == "entry":
-            self.keeper.note_contact()
+            self.keys.record_first_contact()
 
-    def _gone(self, connection: wire.Connection, reason: str) -> None:
+    def _handle_connection_lost(
+        self, connection: wire.Connection, reason: str
+    ) -> None:
         self.process.recorder.record(
             "entry-connection-lost", target=connection.name, why=reason
         )
-        self.keeper.note_entry_lost(connection)
+        self.keys.drop_entry(connection)
         if self.stages is not None:
-            self.stages.note_entry_lost(connection)
+            self.stages.orphan_stages(connection)
 
     async def _handle(
         self, connection: wire.Connection, message: messages.Message
@@ -221,11 +228,11 @@
             case messages.FetchCache():
                 start(self._export, connection, message)
             case messages.Vouch():
-                start(self.keeper.vouch, connection, message)
+                start(self.keys.report_use, connection, message)
             case messages.Claim():
-                start(self.keeper.claim, connection, message)
+                start(self.keys.claim, connection, message)
             case messages.ClaimDone():
-                self.keeper.finish_claim(message)
+                self.keys.finish_claim(message)
             case messages.Order():
                 start(self._order, connection, message)
             case _:
@@ -297,77 +304,77 @@
     ) -> None:
         if self.orders is None:
             return
-        result = await self.orders.give(order)
+        result = await self.orders.execute(order)
         try:
             connection.post(result)
         except errors.PeerError:
             return
 
-    def _note_link_down(self, name: str, reason: str) -> None:
+    def _handle_link_lost(self, name: str, reason: str) -> None:
         if self.stages is not None:
-            self.stages.note_neighbour_lost(name, reason)
+            self.stages.handle_neighbour_lost(name, reason)
 
-    # News.
+    # Updates from entries.
 
-    async def _follow_entries(self) -> None:
-        """Stay subscribed to one entry, in this data centre if possible."""
+    async def _subscribe_to_entries(self) -> None:
+        """Stay subscribed to one entry, preferably in this data centre."""
         process = self.process
         backoff = directory.Backoff()
         while True:
-            followed = False
-            for address in await self._list_upstreams():
-                followed = await process.subscribe(address)
-                if followed:
+            was_subscribed = False
+            for address in await self._list_feed_addresses():
+                was_subscribed = await process.subscribe(address)
+                if was_subscribed:
                     break
-            if followed:
+            if was_subscribed:
                 backoff.reset()
                 continue
             process.recorder.record(
-                "feed-lost", why="no entry hands news on; trying again"
+                "feed-lost", why="no entry accepted the subscription; retrying"
             )
-            # The entries known here may all be gone, and their successors
-            # and the newest configuration stand in the store.
+            # All entries in the view may have been replaced.  The store
+            # has their successors and the newest configuration.
             await self._refresh()
             await backoff.pause()
 
-    async def _list_upstreams(self) -> list[wire.Address]:
+    async def _list_feed_addresses(self) -> list[wire.Address]:
         process = self.process
         entries = process.view.list_instances("entry")
         if not entries:
             await self._refresh()
             entries = process.view.list_instances("entry")
         random.shuffle(entries)
-        near = process.identity.data_centre
-        entries.sort(key=lambda entry: entry.data_centre != near)
-        found = [entry.parsed_address for entry in entries]
-        return [*found, *self._parts.seeds]
+        own_data_centre = process.identity.data_centre
+        entries.sort(key=lambda entry: entry.data_centre != own_data_centre)
+        addresses = [entry.parsed_address for entry in entries]
+        return [*addresses, *self._parts.seeds]
 
     async def _refresh(self) -> None:
         process = self.process
         try:
             await process.store.refresh(f"{directory.PREFIX}entry/")
             process.store.note_reachable(True)
-        except errors.PlatformError as why:
-            process.store.note_reachable(False, str(why))
+        except errors.PlatformError as exc:
+            process.store.note_reachable(False, str(exc))
 
-    async def _tell_load(self) -> None:
-        """Tell the entries when this instance begins to leave, or stays."""
-        told = False
+    async def _announce_leaving(self) -> None:
+        """Announce to entries when this instance starts or stops leaving."""
+        announced = False
         while True:
             await self.process.view.wait_changed()
             leaving = self.is_leaving()
-            if leaving != told:
+            if leaving != announced:
                 self.process.tell_connected(self._make_pong(0))
-            told = leaving
+            announced = leaving
 
     # Metrics.
 
     def _is_ready(self) -> bool:
         process = self.process
-        known = process.view.document.find(
+        target = process.view.document.find(
             configuration.Target, process.identity.name
         )
-        return known is not None and not self.is_leaving()
+        return target is not None and not self.is_leaving()
 
     def _read_gauges(self) -> dict[str, float]:
         load = self.load
@@ -378,8 +385,8 @@
             "step_seconds": load.step_micros / 1e6,
             "leaving": float(load.draining),
             "store_reachable": float(self.process.store.reachable),
-            "keys_held": self.keeper.held,
-            "keys_refused": self.keeper.refused_unknown,
+            "keys_held": self.keys.key_count,
+            "keys_refused": self.keys.unknown_refusals,
         }
         if self.stages is not None:
             gauges["steps_run"] = self.stages.steps_run
--- a/magnoliacove/agent/runner.py
+++ b/magnoliacove/agent/runner.py
@@ -1,4 +1,4 @@
-"""Runs the stages of a model engine in batches and sends on what they give."""
+"""Execution of a model engine's stages in batches."""
 
 from collections.abc import Callable
 import math
@@ -13,10 +13,10 @@
 from magnoliacove.agent.caches import CacheSource
 from magnoliacove.agent.caches import export_cache
 from magnoliacove.agent.caches import import_cache
-from magnoliacove.agent.pace import EnginePace
+from magnoliacove.agent.engine_health import EngineHealth
+from magnoliacove.agent.engine_timing import EngineTiming
 from magnoliacove.agent.stages import Output
 from magnoliacove.agent.stages import Stage
-from magnoliacove.agent.suspicion import EngineSuspicion
 from magnoliacove.timeline import Recorder
 from magnoliacove.wire import messages
 
@@ -24,21 +24,24 @@
 
 
 class Neighbours(CacheSource, Protocol):
-    """Sends to other agents."""
+    """Sends steps to other agents."""
 
     def send_step(self, name: str, address: str, item: messages.Step) -> None:
         """Send one step to the agent of the next stage.
 
-        :raises magnoliacove.errors.PeerError: when it is not connected.
+        :raises magnoliacove.errors.PeerError: if the agent is not
+            connected.
         """
 
 
 class StageRunner:
-    """The stages of one model engine.
+    """Runs the stages of one model engine and forwards their outputs.
 
     :param name: this agent's name.
-    :param is_leaving: whether new streams are to be refused.
-    :param count_layers: returns how many layers the engine holds.
+    :param is_leaving: returns whether new streams are refused.
+    :param count_layers: returns the number of layers that the engine has
+        loaded.
+    :param max_streams: streams that may be open at a time.
     """
 
     def __init__(
@@ -50,11 +53,11 @@
         is_leaving: Callable[[], bool],
         *,
         count_layers: Callable[[], int] = lambda: 0,
-        most_streams: int = defaults.STREAMS_PER_ENGINE,
+        max_streams: int = defaults.STREAMS_PER_ENGINE,
     ) -> None:
         self.stages: dict[bytes, Stage] = {}
         self.steps_dropped = 0
-        self._suspicion = EngineSuspicion(name, engine, recorder)
+        self._health = EngineHealth(name, engine, recorder)
         self._batches: set[trio.CancelScope] = set()
         self.steps_run = 0
         self._name = name
@@ -62,19 +65,19 @@
         self._neighbours = neighbours
         self._recorder = recorder
         self._is_leaving = is_leaving
-        self._pace = EnginePace(count_layers)
-        self._most_streams = most_streams
+        self._timing = EngineTiming(count_layers)
+        self._max_streams = max_streams
         self._ready: dict[Stage, None] = {}
         self._work = trio.Event()
-        self._freed: list[str] = []
+        self._released: list[str] = []
 
     @property
     def load(self) -> messages.Load:
-        """What this agent reports of its load."""
+        """The load that this agent reports."""
         return messages.Load(
             len(self.stages),
             len(self._ready),
-            math.ceil(self._pace.stay_seconds * 1e6),
+            math.ceil(self._timing.residence_seconds * 1e6),
             self._is_leaving(),
         )
 
@@ -83,15 +86,15 @@
         async with trio.open_nursery() as nursery:
             for _ in range(defaults.CONCURRENT_BATCHES):
                 nursery.start_soon(self._run_batches)
-            nursery.start_soon(self._drop_orphans)
-            nursery.start_soon(self._suspicion.run)
+            nursery.start_soon(self._close_expired_stages)
+            nursery.start_soon(self._health.run)
 
     # Opening and closing.
 
     async def open(
         self, entry: wire.Connection, request: messages.OpenStage
     ) -> None:
-        """Open, resume or refuse a stage, and tell the entry."""
+        """Open, resume or refuse a stage, and send the result to the entry."""
         stage = self.stages.get(request.stream)
         if stage is not None and request.attempt <= stage.attempt:
             self._refuse(entry, request, "stale_attempt", "a later attempt of")
@@ -100,14 +103,14 @@
             await self._resume(entry, request, stage)
             return
         if stage is not None:
-            self._forget(stage, "opened anew")
+            self._remove(stage, "reopened by a later attempt")
         if self._is_leaving():
             self._refuse(entry, request, "draining", "this instance leaves;")
             return
-        if self._suspicion.forbids(bool(self.stages)):
+        if self._health.refuses_stream(bool(self.stages)):
             self._refuse(entry, request, "engine_failing", "the engine fails;")
             return
-        if len(self.stages) >= self._most_streams:
+        if len(self.stages) >= self._max_streams:
             self._refuse(entry, request, "overloaded", "the engine is full;")
             return
         stage = Stage(
@@ -137,7 +140,7 @@
             )
             return
         stage.resume(request, entry)
-        # A batch that is under way decides which step comes next.
+        # The batch that still runs determines the next step.
         await stage.idle.wait()
         if not stage.closed and stage.attempt == request.attempt:
             self._confirm(stage)
@@ -173,7 +176,7 @@
         )
 
     async def export(self, request: messages.FetchCache) -> messages.Cache:
-        """Give a stage's KV cache to the agent that takes it over."""
+        """Return a stage's KV cache for the agent that takes it over."""
         stage = self.stages.get(request.stream)
         cache: messages.Cache | None = None
         if stage is not None and request.attempt > stage.attempt:
@@ -181,33 +184,36 @@
                 stage, self._engine, self._recorder, request
             )
             if cache is not None:
-                self._forget(stage, "moved")
+                self._remove(stage, "moved")
         return cache or messages.Cache(
             request.stream, request.attempt, 0, b"", (), False
         )
 
     def close(self, request: messages.CloseStage) -> None:
-        """Forget a stage that its stream no longer needs."""
+        """Close a stage that its stream no longer needs."""
         stage = self.stages.get(request.stream)
         if stage is not None and request.attempt >= stage.attempt:
-            self._forget(stage, request.reason)
+            self._remove(stage, request.reason)
 
-    def note_entry_lost(self, connection: wire.Connection) -> None:
-        """Keep an entry's stages for a while after its connection ended."""
+    def orphan_stages(self, connection: wire.Connection) -> None:
+        """Mark an entry's stages as orphaned after its connection ended.
+
+        They are closed if the entry does not reconnect in time.
+        """
         for stage in self.stages.values():
             if stage.entry is connection:
                 stage.orphaned_at = trio.current_time()
 
-    def note_neighbour_lost(self, name: str, reason: str) -> None:
-        """Tell the entries whose streams go on to an agent that is lost."""
+    def handle_neighbour_lost(self, name: str, reason: str) -> None:
+        """Report a lost agent to the entries whose streams continue there."""
         for stage in self.stages.values():
             if stage.opened.next_name == name:
-                self._tell_lost(stage, name, reason)
+                self._report_lost(stage, name, reason)
 
     # Steps.
 
     def take_steps(self, items: tuple[messages.Step, ...]) -> None:
-        """Queue the steps that are due and drop the rest."""
+        """Queue the steps that are due and drop all others."""
         for item in items:
             stage = self.stages.get(item.stream)
             if stage is None or not stage.accept(item):
@@ -219,14 +225,14 @@
             self._work.set()
 
     def replay(self, request: messages.Replay) -> None:
-        """Send the outputs from a step on, and only those from now on."""
+        """Send the outputs from a step on, and no earlier ones from now on."""
         stage = self.stages.get(request.stream)
         if stage is None or stage.attempt != request.attempt:
             return
         stage.send_from = request.from_step
         outputs = stage.list_outputs(request.from_step)
         if outputs is None:
-            self._tell_lost(stage, "", "its kept outputs were dropped")
+            self._report_lost(stage, "", "its kept outputs were dropped")
             return
         if outputs:
             self._recorder.record(
@@ -243,53 +249,54 @@
             while not self._ready:
                 self._work = trio.Event()
                 await self._work.wait()
-            batch = self._collect()
+            batch = self._collect_batch()
             if not batch:
                 continue
             started = trio.current_time()
             inputs = [item for _, items in batch for item in items]
-            patience = self._pace.read_patience(inputs)
+            timeout = self._timing.get_batch_timeout(inputs)
             outputs: tuple[targets.StepOutput, ...] = ()
-            with trio.move_on_after(patience) as scope:
+            with trio.move_on_after(timeout) as scope:
                 self._batches.add(scope)
                 try:
                     outputs = await self._engine.run_steps(inputs)
-                except targets.EngineError as why:
-                    self._fail(batch, str(why))
+                except targets.EngineError as exc:
+                    self._fail_batch(batch, str(exc))
                     continue
                 finally:
                     self._batches.discard(scope)
             if scope.cancelled_caught:
-                # An engine that hangs keeps its connection open, so only
-                # the time tells.  The entries replace the stages at once
-                # instead of waiting until their streams look stalled, and
-                # what else was sent to the engine hangs with it.
-                reason = f"the engine hangs for {patience:.1f} s"
-                self._fail(batch, reason)
+                # An engine that hangs keeps its connection open, so only a
+                # timeout detects it.  The entries are informed so that
+                # they replace the stages at once and do not wait until
+                # their streams stall.  All other batches at the engine
+                # hang as well.
+                reason = f"the engine hangs for {timeout:.1f} s"
+                self._fail_batch(batch, reason)
                 for other in self._batches:
                     other.cancel()
                 for stage in tuple(self.stages.values()):
-                    self._lose(stage, reason)
+                    self._fail_stage(stage, reason)
                 continue
-            self._suspicion.note_output()
-            self._pace.note_batch(trio.current_time() - started)
-            self._deliver(batch, outputs)
+            self._health.record_output()
+            self._timing.record_batch(trio.current_time() - started)
+            self._handle_outputs(batch, outputs)
 
-    def _collect(self) -> list[tuple[Stage, list[targets.StepInput]]]:
+    def _collect_batch(self) -> list[tuple[Stage, list[targets.StepInput]]]:
         batch = []
-        room = defaults.MAX_BATCH
-        order = sorted(self._ready, key=lambda s: -s.opened.priority)
-        for stage in order:
-            if room <= 0:
+        capacity = defaults.MAX_BATCH
+        ordered = sorted(self._ready, key=lambda s: -s.opened.priority)
+        for stage in ordered:
+            if capacity <= 0:
                 break
             del self._ready[stage]
-            inputs = stage.take_inputs(room)
+            inputs = stage.take_inputs(capacity)
             if inputs:
                 batch.append((stage, inputs))
-                room -= len(inputs)
+                capacity -= len(inputs)
         return batch
 
-    def _deliver(
+    def _handle_outputs(
         self,
         batch: list[tuple[Stage, list[targets.StepInput]]],
         outputs: tuple[targets.StepOutput, ...],
@@ -300,16 +307,16 @@
             if stage.closed:
                 continue
             if output.error:
-                self._lose(stage, output.error)
+                self._fail_stage(stage, output.error)
                 continue
             self.steps_run += 1
-            kept = Output.take(output)
-            stage.keep(kept)
-            if kept.step >= stage.send_from:
-                self._send(stage, kept)
+            retained = Output.from_engine(output)
+            stage.retain(retained)
+            if retained.step >= stage.send_from:
+                self._send(stage, retained)
         for stage, inputs in batch:
             if len(inputs) == 1 and not stage.closed:
-                self._pace.note_stay(stage)
+                self._timing.record_residence(stage)
             stage.finish_inputs()
             if stage.inbox and not stage.closed:
                 self._ready[stage] = None
@@ -317,7 +324,7 @@
             self._work.set()
 
     def _send(self, stage: Stage, output: Output) -> None:
-        if stage.last:
+        if stage.is_last:
             token = stage.make_token(output)
             self._post(stage.entry, messages.Tokens((token,)))
             return
@@ -326,28 +333,28 @@
         try:
             address = stage.opened.next_address
             self._neighbours.send_step(name, address, step)
-        except errors.PeerError as why:
-            self._tell_lost(stage, name, str(why))
+        except errors.PeerError as exc:
+            self._report_lost(stage, name, str(exc))
 
-    # Losses.
+    # Failures.
 
-    def _fail(
+    def _fail_batch(
         self,
         batch: list[tuple[Stage, list[targets.StepInput]]],
         reason: str,
     ) -> None:
-        # Whether the engine applied the steps is not known, so its caches
-        # cannot be trusted: another step might run a layer twice.
-        self._suspicion.note_failure(reason)
+        # It is unknown whether the engine applied the steps, so its caches
+        # cannot be used any more: another step might run a layer twice.
+        self._health.record_failure(reason)
         for stage, _ in batch:
             stage.finish_inputs()
-            self._lose(stage, reason)
+            self._fail_stage(stage, reason)
 
-    def _lose(self, stage: Stage, reason: str) -> None:
-        self._tell_lost(stage, self._name, reason)
-        self._forget(stage, reason)
+    def _fail_stage(self, stage: Stage, reason: str) -> None:
+        self._report_lost(stage, self._name, reason)
+        self._remove(stage, reason)
 
-    def _tell_lost(self, stage: Stage, name: str, reason: str) -> None:
+    def _report_lost(self, stage: Stage, name: str, reason: str) -> None:
         self._recorder.record(
             "stage-lost", request=stage.stream, target=name, why=reason
         )
@@ -356,12 +363,12 @@
             messages.StageLost(stage.stream, stage.attempt, name, reason),
         )
 
-    def _forget(self, stage: Stage, reason: str) -> None:
+    def _remove(self, stage: Stage, reason: str) -> None:
         stage.closed = True
         self._ready.pop(stage, None)
         if self.stages.get(stage.stream) is stage:
             del self.stages[stage.stream]
-        self._freed.append(stage.engine_stream)
+        self._released.append(stage.engine_stream)
         self._recorder.record(
             "stage-closed",
             request=stage.stream,
@@ -375,26 +382,26 @@
         try:
             connection.post(message)
         except errors.PeerError:
-            # The entry is gone or comes back on a new connection; it then
-            # asks for what it missed.
-            self.note_entry_lost(connection)
+            # The entry has failed, or it reconnects and then requests what
+            # it missed.
+            self.orphan_stages(connection)
 
-    async def _drop_orphans(self) -> None:
+    async def _close_expired_stages(self) -> None:
         while True:
             await trio.sleep(1.0)
             now = trio.current_time()
             for stage in tuple(self.stages.values()):
-                reason = stage.find_expiry(now)
+                reason = stage.find_expiry_reason(now)
                 if reason:
-                    self._forget(stage, reason)
-            await self._free()
+                    self._remove(stage, reason)
+            await self._release_caches()
 
-    async def _free(self) -> None:
-        freed, self._freed = self._freed, []
-        if not freed:
+    async def _release_caches(self) -> None:
+        released, self._released = self._released, []
+        if not released:
             return
         try:
-            await self._engine.cancel(freed)
+            await self._engine.cancel(released)
         except targets.EngineError:
-            # The engine drops caches by itself when it runs out of room.
+            # The engine evicts caches by itself when it runs out of memory.
             return
--- a/magnoliacove/agent/stages.py
+++ b/magnoliacove/agent/stages.py
@@ -1,9 +1,9 @@
 """The stages that one agent runs: their order, attempts and outputs.
 
-A stage applies each step once and in order.  It takes steps of its present
-attempt only, so what a former chain still sends is dropped.  It keeps its
-outputs, so that a neighbour that lost them can be given them again without
-any layer running twice here.
+A stage applies each step once and in order.  It accepts only steps of its
+present attempt, so steps from the path of an earlier attempt are dropped.
+It retains its outputs, so that it can send them again to a neighbour that
+lost them without running a layer twice.
 """
 
 from collections import deque
@@ -19,17 +19,17 @@
 
 __all__ = ["Output", "Stage"]
 
-# How long a stage is kept after its entry's connection was lost.  The
-# entry comes back on a new connection well before this if it still lives.
-_ORPHAN_GRACE = 10.0
-# A stage that is fed nothing for so long belongs to an entry that died
-# without a word; its memory is needed by others.
-_UNFED_MOST = 90.0
+# Seconds for which a stage is kept after the connection to its entry is
+# lost.  An entry that still runs reconnects well within this time.
+_ORPHAN_TIMEOUT = 10.0
+# Seconds without a step after which a stage is closed.  Its entry failed
+# without closing the connection, and other streams need the memory.
+_MAX_STEP_GAP = 90.0
 
 
 @dataclass(frozen=True, slots=True)
 class Output:
-    """What one step of a stage gave: activations or a token."""
+    """The output of one step of a stage: activations or a token."""
 
     step: int
     data: bytes
@@ -37,8 +37,8 @@
     end: bool = False
 
     @classmethod
-    def take(cls, output: targets.StepOutput) -> "Output":
-        """Return what an engine's step gave."""
+    def from_engine(cls, output: targets.StepOutput) -> "Output":
+        """Return the output of an engine's step."""
         if output.token is None:
             return cls(output.step, output.payload)
         return cls(output.step, output.token, True, output.end)
@@ -46,14 +46,21 @@
 
 @dataclass(eq=False)
 class Stage:
-    """One range of layers of one stream, held by this agent.
+    """A range of layers that this agent runs for one stream.
 
-    :param engine_stream: the stream's name at the engine.  It holds the
-        attempt that opened the stage, so a stage that is opened anew never
-        meets the KV cache of an earlier one.
+    :param engine_stream: the stream's name at the engine.  It includes the
+        attempt that opened the stage, so a stage that is reopened never
+        uses the KV cache of an earlier one.
+    :param deadline: by trio's clock.
     :param next_step: the first step that the engine has not applied.
+    :param send_from: outputs before this step are not sent downstream.
+    :param running: number of steps in the engine's present batch.
     :param accepted_at: when the newest step arrived, by trio's clock.
-    :param send_from: outputs before this step are not wanted downstream.
+    :param orphaned_at: when the connection to the entry was lost, by trio's
+        clock; None while it is open.
+    :param inbox: steps that wait for a batch.
+    :param outputs: the retained outputs, oldest first.
+    :param idle: set while no batch contains steps of this stage.
     """
 
     stream: bytes
@@ -70,36 +77,36 @@
     orphaned_at: float | None = None
     inbox: deque[messages.Step] = field(default_factory=deque)
     outputs: deque[Output] = field(default_factory=deque)
-    kept_bytes: int = 0
+    retained_bytes: int = 0
     idle: trio.Event = field(default_factory=trio.Event)
 
     def __post_init__(self) -> None:
         self.idle.set()
 
     @property
-    def expected(self) -> int:
-        """The step that may arrive next."""
+    def expected_step(self) -> int:
+        """The only step that is accepted next."""
         return self.next_step + self.running + len(self.inbox)
 
     @property
-    def last(self) -> bool:
-        """Whether this stage gives tokens."""
+    def is_last(self) -> bool:
+        """Whether this is the stream's last stage, which outputs tokens."""
         return not self.opened.next_address
 
     def accept(self, step: messages.Step) -> bool:
-        """Queue a step; return False when it is late, repeated or early."""
+        """Queue a step; return False if it is late, repeated or early."""
         if self.closed or step.attempt != self.attempt:
             return False
-        if step.step != self.expected:
+        if step.step != self.expected_step:
             return False
         self.inbox.append(step)
         self.accepted_at = trio.current_time()
         return True
 
-    def take_inputs(self, most: int) -> list[targets.StepInput]:
-        """Take queued steps for the engine's next batch."""
+    def take_inputs(self, limit: int) -> list[targets.StepInput]:
+        """Remove and return queued steps for the engine's next batch."""
         taken: list[targets.StepInput] = []
-        while self.inbox and len(taken) < most:
+        while self.inbox and len(taken) < limit:
             step = self.inbox.popleft()
             taken.append(
                 targets.StepInput(
@@ -117,46 +124,46 @@
         return taken
 
     def finish_inputs(self) -> None:
-        """Note that the engine is done with the inputs it had."""
+        """Record that the engine has finished the stage's inputs."""
         self.running = 0
         self.idle.set()
 
-    def keep(self, output: Output) -> None:
-        """Note an output and drop the oldest ones beyond the bound."""
+    def retain(self, output: Output) -> None:
+        """Retain an output and drop the oldest ones beyond the size limit."""
         self.next_step = output.step + 1
         self.outputs.append(output)
-        self.kept_bytes += len(output.data)
-        while self.kept_bytes > defaults.RETAINED_OUTPUT_BYTES:
-            self.kept_bytes -= len(self.outputs.popleft().data)
+        self.retained_bytes += len(output.data)
+        while self.retained_bytes > defaults.RETAINED_OUTPUT_BYTES:
+            self.retained_bytes -= len(self.outputs.popleft().data)
 
     def make_token(self, output: Output) -> messages.Token:
-        """Return an output as the entry is sent it."""
+        """Return an output as a message to the entry."""
         return messages.Token(
             self.stream, self.attempt, output.step, output.data, output.end
         )
 
     def make_step(self, output: Output) -> messages.Step:
-        """Return an output as the next stage is sent it."""
+        """Return an output as a message to the next stage."""
         return messages.Step(
             self.stream, self.attempt, output.step, output.data
         )
 
-    def find_expiry(self, now: float) -> str:
-        """Return why the stage is needed no longer, "" while it is.
+    def find_expiry_reason(self, now: float) -> str:
+        """Return why the stage is to be closed, or "" if it is in use.
 
         :param now: by trio's clock.
         """
-        if now - self.accepted_at > _UNFED_MOST and self.next_step:
+        if now - self.accepted_at > _MAX_STEP_GAP and self.next_step:
             return "no step came for long"
         orphaned = self.orphaned_at
-        if orphaned is not None and now - orphaned > _ORPHAN_GRACE:
+        if orphaned is not None and now - orphaned > _ORPHAN_TIMEOUT:
             return "its entry did not come back"
-        if now > self.deadline + _ORPHAN_GRACE:
+        if now > self.deadline + _ORPHAN_TIMEOUT:
             return "its deadline passed"
         return ""
 
     def list_outputs(self, from_step: int) -> list[Output] | None:
-        """Return the outputs from a step on, or None when dropped."""
+        """Return the outputs from a step on, or None if dropped."""
         if from_step >= self.next_step:
             return []
         if not self.outputs or self.outputs[0].step > from_step:
@@ -166,10 +173,10 @@
     def resume(
         self, opened: messages.OpenStage, entry: wire.Connection
     ) -> None:
-        """Go over to a later attempt, with other neighbours perhaps.
+        """Switch to a later attempt, possibly with other neighbours.
 
-        Steps that wait are dropped: the neighbour before sends them again
-        under the new attempt.
+        Queued steps are dropped, because the previous stage sends them
+        again under the new attempt.
         """
         self.attempt = opened.attempt
         self.opened = opened
--- a/measure/slopes.py
+++ b/measure/slopes.py
@@ -276,7 +276,7 @@
         sink,  # type: ignore[arg-type]
         timeline.Recorder("here"),
         lambda: False,
-        most_streams=streams,
+        max_streams=streams,
     )
     names = [n.to_bytes(16, "big") for n in range(streams)]
     rounds = 6400 // streams
--- a/tests/agent/test_orders.py
+++ b/tests/agent/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders are fenced, whether or not the engine checks the number."""
+"""Orders are fenced, whether or not the engine checks the token."""
 
 import pytest
 import trio
@@ -6,7 +6,7 @@
 from magnoliacove import directory
 from magnoliacove import timeline
 from magnoliacove.agent.orders import ORDERS_LEASE
-from magnoliacove.agent.orders import OrderGate
+from magnoliacove.agent.orders import OrderExecutor
 from magnoliacove.standins import engine
 from magnoliacove.standins import object_api
 from magnoliacove.wire import messages
@@ -23,49 +23,56 @@
 
 @pytest.mark.parametrize("checks", [True, False])
 @pytest.mark.parametrize("restarted", [True, False])
-async def test_holder_that_wakes_changes_nothing(
+async def test_order_of_resumed_former_holder_is_refused(
     checks, restarted, autojump_clock
 ):
-    """A holder is paused past its lease and wakes believing it holds it.
+    """An order from a holder whose lease expired must not take effect.
 
-    Meanwhile another took the lease and gave an order.  The late order is
-    refused by the agent, also by one that has just started and knows no
-    number, and also beside an engine that checks nothing.
+    The holder is paused past the end of its lease, another process takes
+    the lease, and the first one resumes and sends an order.  The agent
+    refuses it even if it has just started and has read no fencing token
+    yet, and even if its engine does not check tokens.
     """
     store = object_api.ObjectStore()
     model = engine.StandInEngine(8, checks_orders=checks)
-    gate = OrderGate("t", model, store, timeline.Recorder("t"))
+    executor = OrderExecutor("t", model, store, timeline.Recorder("t"))
     paused, other = _lease(store, "paused"), _lease(store, "other")
     assert await paused.try_take()
     old_fence = paused.fence
-    await gate.give(_order("paused", old_fence, "first"))
+    await executor.execute(_order("paused", old_fence, "first"))
     await other.try_take()
     await trio.sleep(10)
     assert not paused.held
     assert await other.try_take()
     assert other.fence > old_fence
     if restarted:
-        gate = OrderGate("t", model, store, timeline.Recorder("t"))
+        executor = OrderExecutor("t", model, store, timeline.Recorder("t"))
     else:
-        assert (await gate.give(_order("other", other.fence, "new"))).applied
-    late = await gate.give(_order("paused", old_fence, "late"))
+        assert (
+            await executor.execute(_order("other", other.fence, "new"))
+        ).applied
+    late = await executor.execute(_order("paused", old_fence, "late"))
     assert not late.applied
     assert "no longer holds" in late.reason
     assert "late" not in [order[2] for order in model.orders]
 
 
-async def test_unknown_number_in_an_outage(autojump_clock):
-    """A new agent cannot learn the number, so it obeys nobody."""
+async def test_order_is_refused_if_token_is_unreadable(autojump_clock):
+    """A new agent that cannot read the fencing token refuses all orders."""
     store = object_api.ObjectStore()
     store.faults.outage = True
     model = engine.StandInEngine(8)
-    gate = OrderGate("t", model, store, timeline.Recorder("t"))
-    assert not (await gate.give(_order("x", 99, "y"))).applied
+    executor = OrderExecutor("t", model, store, timeline.Recorder("t"))
+    assert not (await executor.execute(_order("x", 99, "y"))).applied
     assert not model.orders
 
 
-async def test_two_never_hold_a_lease(autojump_clock):
-    """Holders renew, pause and lose answers; never do two hold it."""
+async def test_lease_has_at_most_one_holder(autojump_clock):
+    """At no time do two processes hold a lease.
+
+    Three processes renew it, pause past its end, and lose answers of the
+    store to writes that took effect.
+    """
     store = object_api.ObjectStore()
     leases = [_lease(store, f"p{n}") for n in range(3)]
 
--- a/tests/agent/test_stages.py
+++ b/tests/agent/test_stages.py
@@ -1,4 +1,4 @@
-"""Stages apply each step once, in order, for their attempt only."""
+"""Stages apply each step once, in order, and only for their attempt."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -15,7 +15,7 @@
 
 
 class _Sink:
-    """Takes what a runner sends to an entry or to another agent."""
+    """Collects what a runner sends to an entry or to another agent."""
 
     def __init__(self):
         self.sent = []
@@ -63,7 +63,7 @@
         sink,
         timeline.Recorder("here"),
         lambda: leaving,
-        most_streams=most,
+        max_streams=most,
     )
     return runner, model
 
@@ -81,7 +81,10 @@
 
 @given(_ARRIVALS)
 def test_each_step_runs_once_in_order(arrivals):
-    """Steps arrive late, twice, crossed and from former attempts."""
+    """A step that runs twice or out of order corrupts the KV cache.
+
+    Steps arrive late, twice, out of order and from earlier attempts.
+    """
 
     async def main():
         sink = _Sink()
@@ -115,6 +118,7 @@
 
 
 async def test_replay_runs_no_layer_again(autojump_clock):
+    """A replay sends retained outputs and runs no step a second time."""
     sink = _Sink()
     runner, model = _make_runner(sink)
     await runner.open(sink, _open())
@@ -127,8 +131,8 @@
     assert len(model.steps_run) == 4
 
 
-async def test_dropped_outputs_are_said_to_be_lost(autojump_clock):
-    """A replay asks for outputs that were dropped to bound the memory."""
+async def test_replay_of_dropped_outputs_reports_loss(autojump_clock):
+    """A replay requests outputs that were dropped to limit memory use."""
     sink = _Sink()
     runner, _ = _make_runner(sink)
     await runner.open(sink, _open())
@@ -139,7 +143,8 @@
     assert sink.sent[-1].name == ""
 
 
-async def test_broken_link_is_told_from_lost_stage(autojump_clock):
+async def test_broken_link_keeps_stage_open(autojump_clock):
+    """A lost link to the next agent is reported, but no stage is closed."""
     sink = _Sink()
     runner, _ = _make_runner(sink)
     await runner.open(sink, _open())
@@ -149,8 +154,8 @@
     assert _STREAM in runner.stages
 
 
-async def test_refusals_are_true(autojump_clock):
-    """What is refused did not run, and the reason says why."""
+async def test_refused_streams_do_not_run(autojump_clock):
+    """A refused stream runs no step, and the code states the reason."""
     cases = [
         (_make_runner(_Sink(), leaving=True), _open(), "draining"),
         (_make_runner(_Sink(), most=0), _open(), "overloaded"),
@@ -166,6 +171,7 @@
 
 
 async def test_stale_attempt_is_refused(autojump_clock):
+    """A late request for an earlier attempt must not replace a stage."""
     sink = _Sink()
     runner, _ = _make_runner(sink)
     await runner.open(sink, _open(5))
@@ -174,12 +180,12 @@
     assert runner.stages[_STREAM].attempt == 5
 
 
-async def test_orphans_are_dropped(autojump_clock):
-    """An entry dies and never comes back for its streams."""
+async def test_orphaned_stages_are_closed(autojump_clock):
+    """Stages are closed if their entry fails and does not reconnect."""
     sink = _Sink()
     runner, _ = _make_runner(sink)
     await runner.open(sink, _open())
-    runner.note_entry_lost(sink)
+    runner.orphan_stages(sink)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(runner.run)
         await trio.sleep(15)
@@ -188,6 +194,7 @@
 
 
 async def test_exported_stage_runs_no_more(autojump_clock):
+    """After its export a stage accepts no step of any attempt."""
     sink = _Sink()
     runner, model = _make_runner(sink)
     await runner.open(sink, _open())
