--- a/magnoliacove/agent/caches.py
+++ b/magnoliacove/agent/caches.py
@@ -83,10 +83,10 @@
             "cache-not-exported", request=stage.stream, why=str(exc)
         )
         return None
-    outputs = tuple(_pack_output(output) for output in stage.outputs)
+    packed_outputs = tuple(_pack_output(output) for output in stage.outputs)
     recorder.record("cache-exported", request=stage.stream, steps=step)
     return messages.Cache(
-        request.stream, request.attempt, step, data, outputs, True
+        request.stream, request.attempt, step, data, packed_outputs, True
     )
 
 
--- a/magnoliacove/agent/key_registry.py
+++ b/magnoliacove/agent/key_registry.py
@@ -280,13 +280,13 @@
 
     def finish_claim(self, done: messages.ClaimDone) -> None:
         """Record the result of a claimed key's request."""
-        claim = self._claims.pop(done.request, None)
-        if claim is None:
+        pending_claim = self._claims.pop(done.request, None)
+        if pending_claim is None:
             return
         if not done.ran:
-            self.cancel(claim[1])
+            self.cancel(pending_claim[1])
             return
-        self.finish(claim[1], done.record or None, len(done.record))
+        self.finish(pending_claim[1], done.record or None, len(done.record))
 
     def drop_entry(self, connection: wire.Connection) -> None:
         """Finish the claims of an entry whose connection ended.
