--- a/features/steps/callers.py
+++ b/features/steps/callers.py
@@ -13,7 +13,7 @@
 
 async def _ask(context, method, path, body, headers):
     async with fleets.open_fleet() as fleet:
-        url = fleet.entries["entry-0"].made.callers_url
+        url = fleet.entries["entry-0"].server.callers_url
         caller = fleets.Caller(url)
         answer = await caller.request(method, path, body, headers)
         context.status = answer.status
--- a/magnoliacove/commands/demo.py
+++ b/magnoliacove/commands/demo.py
@@ -32,7 +32,7 @@
 
 async def _run(tokens: int, kill: bool, html: str | None) -> None:
     async with fleets.open_fleet(step_time=0.02) as fleet:
-        caller = fleets.Caller(fleet.entries["entry-0"].made.callers_url)
+        caller = fleets.Caller(fleet.entries["entry-0"].server.callers_url)
         click.echo(f"prompt: {_PROMPT}")
         text = ""
         count = 0
@@ -62,7 +62,7 @@
 
 def _kill_one(fleet: fleets.Fleet) -> None:
     for name, agent in fleet.agents.items():
-        stages = agent.made.stages
+        stages = agent.server.stages
         if stages is not None and stages.stages:
             click.echo(f"\n[killing {name}]")
             fleet.kill(agent)
--- a/magnoliacove/standins/callers.py
+++ b/magnoliacove/standins/callers.py
@@ -1,4 +1,4 @@
-"""Callers of an entry: over HTTP, or straight to its application."""
+"""Callers of an entry, over HTTP or directly through its application."""
 
 from collections.abc import AsyncIterator
 from collections.abc import Awaitable
@@ -16,7 +16,7 @@
 
 
 def make_body(prompt: str, tokens: int, *, stream: bool) -> bytes:
-    """Return the body of a request to the model."""
+    """Return the body of a completion request to the model."""
     body = {"model": MODEL, "prompt": prompt, "max_tokens": tokens}
     return json.dumps({**body, "stream": stream}).encode()
 
@@ -25,6 +25,7 @@
     """A caller of one entry, over HTTP.
 
     :param url: the entry's URL for callers.
+    :param key: the API key.
     """
 
     def __init__(self, url: str, key: str = API_KEY) -> None:
@@ -51,7 +52,7 @@
         )
 
     async def complete(self, prompt: str, tokens: int) -> str:
-        """Ask the model for a whole answer."""
+        """Request a completion and return its whole text."""
         response = await self.request(
             "POST",
             "/v1/completions",
@@ -63,7 +64,7 @@
         return data["choices"][0]["text"]
 
     async def stream(self, prompt: str, tokens: int) -> AsyncIterator[str]:
-        """Ask the model for an answer and give its tokens as they come."""
+        """Request a streamed completion and yield its tokens on arrival."""
         async with self._pool.stream(
             "POST",
             self._url + "/v1/completions",
@@ -81,7 +82,7 @@
 def read_events(events: list[bytes]) -> list[str]:
     """Return the texts of a stream's events.
 
-    :raises RuntimeError: when the stream ends with an error.
+    :raises RuntimeError: if the stream ends with an error.
     """
     texts = []
     for event in events:
@@ -98,7 +99,10 @@
 
 
 class Answer:
-    """What an entry's application answered."""
+    """The answer of an entry's application.
+
+    :ivar parts: the parts of the body, in order of arrival.
+    """
 
     def __init__(self) -> None:
         self.status = 0
@@ -120,12 +124,12 @@
     headers: dict[str, str] | None = None,
     on_part: Callable[[int], Awaitable[None]] | None = None,
 ) -> Answer:
-    """Send one request to an entry's application, without sockets.
+    """Send one request to an entry's ASGI application without sockets.
 
-    :param on_part: called with the number of parts after each of them.
+    :param on_part: called after each part with the number of parts so far.
     """
     answer = Answer()
-    given = {"authorization": f"Bearer {API_KEY}", **(headers or {})}
+    merged = {"authorization": f"Bearer {API_KEY}", **(headers or {})}
     sent = False
 
     async def receive() -> dict[str, Any]:
@@ -156,7 +160,7 @@
         "path": path,
         "query_string": query.encode(),
         "headers": [
-            (k.lower().encode(), v.encode()) for k, v in given.items()
+            (k.lower().encode(), v.encode()) for k, v in merged.items()
         ],
     }
     await app(scope, receive, send)
--- a/magnoliacove/standins/engine.py
+++ b/magnoliacove/standins/engine.py
@@ -1,8 +1,8 @@
-"""A stand-in model engine: deterministic layers with settable step times.
+"""A stand-in model engine with deterministic layers and configurable delays.
 
-Each layer keeps a running digest of its inputs per stream, as a real layer
-keeps its KV cache.  A layer that is skipped, run twice or run out of order
-changes every later token, so a wrong answer shows at once.
+Each layer keeps a running digest of its inputs for each stream, as a real
+layer keeps its KV cache.  A layer that is skipped, run twice or run out of
+order changes all later tokens, so the fault shows in the answer at once.
 """
 
 import base64
@@ -41,7 +41,7 @@
 
 
 def compute_tokens(prompt: bytes, layers: int, count: int) -> list[bytes]:
-    """Return the tokens that a whole, undisturbed model gives."""
+    """Return the tokens that a whole model outputs without faults."""
     states = [b""] * layers
     value, tokens = prompt, []
     for _ in range(count):
@@ -54,11 +54,11 @@
 
 @dataclass
 class EngineFaults:
-    """What goes wrong from now on.
+    """The faults that are injected at present.
 
-    :param frozen: calls hang until it is unset.
-    :param failing: calls answer with an error.
-    :param slowdown: step times are multiplied by this.
+    :param frozen: calls hang while this is set.
+    :param failing: calls raise an error.
+    :param slowdown: factor by which step times are multiplied.
     """
 
     frozen: bool = False
@@ -67,15 +67,24 @@
 
 
 @dataclass
-class _Held:
-    """The KV cache of one stream."""
+class _StreamCache:
+    """The KV cache of one stream.
+
+    :param states: digests of the inputs so far, by layer.
+    """
 
     next_step: int = 0
     states: dict[int, bytes] = field(default_factory=dict)
 
 
 @dataclass
-class _Waiting:
+class _PendingStep:
+    """A step that waits for a batch.
+
+    :param done: set after the step's batch, and when the next batch needs a
+        caller to run it.
+    """
+
     item: engine.StepInput
     done: trio.Event = field(default_factory=trio.Event)
     output: engine.StepOutput | None = None
@@ -84,12 +93,14 @@
 class StandInEngine:
     """A model engine in this process.
 
-    :param layers: how many layers the whole model has.
-    :param step_time: seconds of one batch.
-    :param item_time: further seconds for each stream in a batch.
-    :param prompt_time: further seconds for each byte of a prompt.
-    :param end_after: the model ends its answer at this step; 0 for never.
-    :param checks_orders: refuse orders with an old fencing number.
+    :param layers: number of layers of the whole model.
+    :param step_time: seconds that one batch takes.
+    :param item_time: additional seconds for each stream in a batch.
+    :param prompt_time: additional seconds for each byte of a prompt.
+    :param max_batch: number of steps in a batch.
+    :param end_after: number of steps after which the model ends its answer;
+        0 for no end.
+    :param checks_orders: whether to refuse orders with an old fencing token.
     """
 
     def __init__(
@@ -114,62 +125,62 @@
         self._end_after = end_after
         self._checks_orders = checks_orders
         self._highest_fence = 0
-        self._held: dict[str, _Held] = {}
-        self._waiting: list[_Waiting] = []
+        self._caches: dict[str, _StreamCache] = {}
+        self._pending: list[_PendingStep] = []
         self._busy = False
 
     async def run_steps(
         self, inputs: Sequence[engine.StepInput]
     ) -> tuple[engine.StepOutput, ...]:
         """Run steps of several streams in the engine's next batches."""
-        await self._meet_faults()
-        mine = [_Waiting(item) for item in inputs]
-        self._waiting.extend(mine)
-        while not all(waiting.done.is_set() for waiting in mine):
+        await self._apply_faults()
+        steps = [_PendingStep(item) for item in inputs]
+        self._pending.extend(steps)
+        while not all(step.done.is_set() for step in steps):
             if self._busy:
-                undone = next(w for w in mine if not w.done.is_set())
-                await undone.done.wait()
+                unfinished = next(s for s in steps if not s.done.is_set())
+                await unfinished.done.wait()
                 continue
             await self._run_batch()
-        return tuple(w.output for w in mine if w.output is not None)
+        return tuple(s.output for s in steps if s.output is not None)
 
     async def cancel(self, streams: Sequence[str]) -> None:
-        """Forget streams and free their KV cache."""
-        await self._meet_faults()
+        """Discard streams and free their KV caches."""
+        await self._apply_faults()
         for stream in streams:
-            self._held.pop(stream, None)
+            self._caches.pop(stream, None)
 
     async def export_cache(self, stream: str) -> tuple[int, bytes]:
         """Return a stream's next step and KV cache."""
-        await self._meet_faults()
-        held = self._held.get(stream)
-        if held is None:
+        await self._apply_faults()
+        cache = self._caches.get(stream)
+        if cache is None:
             raise engine.EngineError(
                 f"stream {stream} is not held", errors.Outcome.NOT_RUN
             )
-        states = {str(k): v.hex() for k, v in held.states.items()}
-        return held.next_step, json.dumps(states).encode()
+        states = {str(k): v.hex() for k, v in cache.states.items()}
+        return cache.next_step, json.dumps(states).encode()
 
     async def import_cache(
         self, stream: str, next_step: int, data: bytes
     ) -> None:
-        """Take a stream's KV cache over from another engine."""
-        await self._meet_faults()
+        """Import a stream's KV cache from another engine."""
+        await self._apply_faults()
         states = {
             int(k): bytes.fromhex(v) for k, v in json.loads(data).items()
         }
-        self._held[stream] = _Held(next_step, states)
+        self._caches[stream] = _StreamCache(next_step, states)
 
     async def read_load(self) -> engine.EngineLoad:
-        """Return the load."""
-        await self._meet_faults()
+        """Return the engine's load."""
+        await self._apply_faults()
         return engine.EngineLoad(
-            len(self._held), len(self._waiting), len(self._held), 4096
+            len(self._caches), len(self._pending), len(self._caches), 4096
         )
 
     async def give_order(self, fence: int, action: str, argument: str) -> None:
-        """Order the engine to load or change something."""
-        await self._meet_faults()
+        """Record an order, unless its fencing token is checked and old."""
+        await self._apply_faults()
         if self._checks_orders and fence < self._highest_fence:
             raise errors.StaleOrderError(
                 f"fencing number {fence} is older than {self._highest_fence}"
@@ -177,7 +188,7 @@
         self._highest_fence = max(fence, self._highest_fence)
         self.orders.append((fence, action, argument))
 
-    async def _meet_faults(self) -> None:
+    async def _apply_faults(self) -> None:
         await trio.lowlevel.checkpoint()
         while self.faults.frozen:
             await trio.sleep(0.05)
@@ -188,10 +199,10 @@
 
     async def _run_batch(self) -> None:
         self._busy = True
-        self._waiting.sort(key=lambda waiting: -waiting.item.priority)
-        batch = self._waiting[: self._max_batch]
-        del self._waiting[: self._max_batch]
-        prompts = sum(len(w.item.payload) for w in batch if w.item.step == 0)
+        self._pending.sort(key=lambda step: -step.item.priority)
+        batch = self._pending[: self._max_batch]
+        del self._pending[: self._max_batch]
+        prompts = sum(len(s.item.payload) for s in batch if s.item.step == 0)
         duration = (
             self._step_time
             + self._item_time * len(batch)
@@ -199,30 +210,30 @@
         )
         try:
             await trio.sleep(duration * self.faults.slowdown)
-            for waiting in batch:
-                waiting.output = self._run_step(waiting.item)
+            for step in batch:
+                step.output = self._run_step(step.item)
         finally:
             self._busy = False
-            for waiting in batch:
-                waiting.done.set()
-            for waiting in self._waiting:
-                # One of the callers that still wait runs the next batch.
-                waiting.done.set()
-                waiting.done = trio.Event()
+            for step in batch:
+                step.done.set()
+            for step in self._pending:
+                # Wake the callers that still wait: one runs the next batch.
+                step.done.set()
+                step.done = trio.Event()
 
     def _run_step(self, item: engine.StepInput) -> engine.StepOutput:
-        held = self._held.setdefault(item.stream, _Held())
-        if item.step != held.next_step:
+        cache = self._caches.setdefault(item.stream, _StreamCache())
+        if item.step != cache.next_step:
             return engine.StepOutput(
                 item.stream,
                 item.step,
-                error=f"step {item.step} came where {held.next_step} was due",
+                error=f"step {item.step} came where {cache.next_step} was due",
             )
         value = item.payload
         for layer in range(item.first_layer, item.end_layer):
-            value = _run_layer(layer, held.states.get(layer, b""), value)
-            held.states[layer] = value
-        held.next_step += 1
+            value = _run_layer(layer, cache.states.get(layer, b""), value)
+            cache.states[layer] = value
+        cache.next_step += 1
         self.steps_run.append(
             (item.stream, item.step, item.first_layer, item.end_layer)
         )
@@ -237,7 +248,7 @@
 def make_app(model: StandInEngine) -> web.App:
     """Return an ASGI application that serves an engine over HTTP.
 
-    ``POST /faults`` with a JSON object sets the faults.
+    ``POST /faults`` with a JSON object sets the given faults.
     """
 
     async def answer(request: web.Request) -> web.Response:
@@ -248,10 +259,10 @@
             return web.Response(200, model.faults.__dict__)
         try:
             return web.Response(200, await _dispatch(model, request, data))
-        except errors.StaleOrderError as why:
-            return web.Response(409, {"error": str(why)})
-        except engine.EngineError as why:
-            return web.Response(500, {"error": str(why)})
+        except errors.StaleOrderError as exc:
+            return web.Response(409, {"error": str(exc)})
+        except engine.EngineError as exc:
+            return web.Response(500, {"error": str(exc)})
 
     return web.make_app(answer)
 
--- a/magnoliacove/standins/fleet.py
+++ b/magnoliacove/standins/fleet.py
@@ -1,7 +1,7 @@
-"""An embedded fleet: real entries and agents with stand-ins, one process.
+"""A fleet of real entries and agents with stand-in targets, in one process.
 
-It serves the demonstration, the tests and the measurements.  Agents can be
-killed, frozen and started again by name.
+The demonstration, the tests and the measurements use it.  Agents can be
+killed, frozen and restarted by name.
 """
 
 from collections.abc import AsyncIterator
@@ -39,36 +39,45 @@
     "PLAIN",
     "Caller",
     "Fleet",
-    "Running",
+    "FleetProcess",
     "open_fleet",
 ]
 
 OPERATOR_KEY = "operator-key"
 PLAIN = "bid-desk"
-# Where the clocks of a fleet in memory begin, in seconds since the epoch.
+# Seconds since the epoch at which the clocks of a fleet in memory start.
 _START = 1_800_000_000.0
 _LOCAL = wire.Address("127.0.0.1", 0)
 
 
 @dataclass
-class Running:
-    """One process of the fleet, as a task that can be killed."""
+class FleetProcess:
+    """One process of the fleet, run as a task that can be killed.
 
-    made: Any
+    :param server: the agent or entry.
+    :param scope: cancelled to kill the process.
+    """
+
+    server: Any
     scope: trio.CancelScope
     address: wire.Address
 
 
 @dataclass
 class Fleet:
-    """The parts of an embedded fleet.
-
-    With ``links`` the processes talk through memory, without sockets, so
-    the fleet also runs under trio's mock clock.
-
-    :param layers: of the model.
-    :param cuts: where the ranges of the model's targets begin and end.
-    :param replicas: targets for each range, and plain targets.
+    """A fleet inside this process.
+
+    With ``links`` its processes communicate through memory instead of
+    sockets, so the fleet also runs under trio's mock clock.
+
+    :param layers: number of layers of the model.
+    :param cuts: layers at which the ranges of the model's targets start and
+        end.
+    :param replicas: number of targets for each range and for the plain
+        service.
+    :param step_time: seconds that an engine takes for one batch.
+    :param api: the object API for the processes; the store if None.
+    :param clock_offsets: seconds by which clocks are off, by process name.
     """
 
     nursery: trio.Nursery
@@ -80,20 +89,20 @@
     api: platform.ObjectApi | None = None
     engines: dict[str, engine.StandInEngine] = field(default_factory=dict)
     plains: dict[str, plain.StandInPlain] = field(default_factory=dict)
-    agents: dict[str, Running] = field(default_factory=dict)
-    entries: dict[str, Running] = field(default_factory=dict)
+    agents: dict[str, FleetProcess] = field(default_factory=dict)
+    entries: dict[str, FleetProcess] = field(default_factory=dict)
     links: network.Links | None = None
     seeds: tuple[wire.Address, ...] = ()
     clock_offsets: dict[str, float] = field(default_factory=dict)
     chooser: Callable[[], routing.ChainChooser] = routing.ExpectedDelay
 
     def read_time(self) -> float:
-        """Return the time of a fleet in memory, since the epoch."""
+        """Return the time of a fleet in memory, in seconds since the epoch."""
         return _START + trio.current_time()
 
     def list_objects(self) -> list[configuration.ConfigurationObject]:
-        """Return a configuration that names the whole fleet."""
-        found: list[configuration.ConfigurationObject] = [
+        """Return the configuration objects of the whole fleet."""
+        objects: list[configuration.ConfigurationObject] = [
             configuration.DataCentre("gent-a", "be-vla"),
             configuration.Service(MODEL, "model", self.layers, deadline=30.0),
             configuration.Service(
@@ -107,18 +116,18 @@
                 "lannoy", (configuration.hash_key(API_KEY),)
             ),
         ]
-        found.extend(
+        objects.extend(
             configuration.Target(name, MODEL, "gent-a", "", first, end)
             for name, first, end in self.list_ranges()
         )
-        found.extend(
+        objects.extend(
             configuration.Target(name, PLAIN, "gent-a")
             for name in self.list_plain()
         )
-        return found
+        return objects
 
     def list_ranges(self) -> list[tuple[str, int, int]]:
-        """Return the model's targets and their layers."""
+        """Return the model's targets with their first and end layers."""
         return [
             (f"llm-{first}-{number}", first, end)
             for first, end in zip(self.cuts, self.cuts[1:], strict=False)
@@ -132,7 +141,7 @@
     async def configure(
         self, *operations: configuration.Put | configuration.Removal
     ) -> int:
-        """Commit a change as an operator would, and return its version."""
+        """Commit a change as an operator does, and return its version."""
         journal = configuration.Journal(self.store)
         document = await journal.load()
         clock = timeline.Clock()
@@ -141,29 +150,29 @@
         )
         return result.unwrap().version
 
-    async def start_agent(self, name: str) -> Running:
-        """Start the agent of a target, with its stand-in."""
-        made = agent.Agent(
+    async def start_agent(self, name: str) -> FleetProcess:
+        """Start the agent of a target, and the target's stand-in."""
+        server = agent.Agent(
             agent.AgentParts(
                 Identity(name, "agent", "gent-a", _LOCAL),
                 self.api or self.store,
-                self._network(name),
-                self._find_engine(name),
+                self._make_network(name),
+                self._get_engine(name),
                 await self._start_plain(name),
                 seeds=self.seeds,
                 clock=self.make_clock(name),
             )
         )
-        self.agents[name] = await self._start(made)
+        self.agents[name] = await self._start(server)
         return self.agents[name]
 
-    async def start_entry(self, name: str) -> Running:
+    async def start_entry(self, name: str) -> FleetProcess:
         """Start an entry."""
-        made = entry.Entry(
+        server = entry.Entry(
             entry.EntryParts(
                 Identity(name, "entry", "gent-a", _LOCAL),
                 self.api or self.store,
-                self._network(name),
+                self._make_network(name),
                 sockets.bind_socket("127.0.0.1", 0),
                 sockets.bind_socket("127.0.0.1", 0),
                 {configuration.hash_key(OPERATOR_KEY): "ann"},
@@ -172,46 +181,49 @@
                 clock=self.make_clock(name),
             )
         )
-        self.entries[name] = await self._start(made)
+        self.entries[name] = await self._start(server)
         return self.entries[name]
 
     def make_clock(self, name: str) -> timeline.Clock | None:
-        """Return a process's clock; off by what ``clock_offsets`` says."""
+        """Return a process's clock with its offset from ``clock_offsets``.
+
+        :returns: None for a fleet that uses sockets and the real clock.
+        """
         offset = self.clock_offsets.get(name, 0.0)
         if self.links is None:
             return None
         return timeline.Clock(lambda: _START + trio.current_time() + offset)
 
-    def kill(self, running: Running) -> None:
-        """End a process without any farewell."""
+    def kill(self, running: FleetProcess) -> None:
+        """End a process abruptly, without a drain."""
         running.scope.cancel()
 
     async def wait_ready(self, version: int) -> None:
         """Wait until every entry can reach every agent."""
         for running in self.entries.values():
-            await running.made.process.view.wait_version(version, 10)
+            await running.server.process.view.wait_version(version, 10)
             with trio.fail_after(10):
-                while running.made.pool.connected < len(self.agents):
+                while running.server.pool.connected < len(self.agents):
                     await trio.sleep(0.01)
         for running in self.agents.values():
-            await running.made.process.view.wait_version(version, 10)
+            await running.server.process.view.wait_version(version, 10)
 
     def list_events(self, kind: str = "") -> list[timeline.Event]:
         """Return the events of all processes in causal order."""
-        found = [
+        events = [
             event
             for running in (*self.agents.values(), *self.entries.values())
-            for event in running.made.process.recorder.list_events()
+            for event in running.server.process.recorder.list_events()
             if kind in ("", event.kind)
         ]
-        return sorted(found, key=lambda event: event.clock)
+        return sorted(events, key=lambda event: event.clock)
 
-    def _network(self, name: str) -> Any:
+    def _make_network(self, name: str) -> Any:
         if self.links is not None:
             return network.MemoryNetwork(name, self.links)
         return wire.Network()
 
-    def _find_engine(self, name: str) -> targets.Engine | None:
+    def _get_engine(self, name: str) -> targets.Engine | None:
         if name in self.list_plain():
             return None
         if name not in self.engines:
@@ -234,12 +246,12 @@
         )
         return targets.HttpPlainTarget(url)
 
-    async def _start(self, made: Any) -> Running:
-        async def run(*, task_status: trio.TaskStatus[Running]) -> None:
+    async def _start(self, server: Any) -> FleetProcess:
+        async def run(*, task_status: trio.TaskStatus[FleetProcess]) -> None:
             with trio.CancelScope() as scope:
                 async with trio.open_nursery() as nursery:
-                    address = await nursery.start(made.run)
-                    task_status.started(Running(made, scope, address))
+                    address = await nursery.start(server.run)
+                    task_status.started(FleetProcess(server, scope, address))
 
         return await self.nursery.start(run)
 
@@ -248,7 +260,7 @@
 async def open_fleet(
     *, entries: int = 1, **settings: Any
 ) -> AsyncIterator[Fleet]:
-    """Run a whole fleet while the body runs."""
+    """Run a whole fleet within the ``async with`` block."""
     async with trio.open_nursery() as nursery:
         fleet = Fleet(nursery, object_api.ObjectStore(), **settings)
         puts = [configuration.Put(item, 0) for item in fleet.list_objects()]
--- a/magnoliacove/standins/network.py
+++ b/magnoliacove/standins/network.py
@@ -1,4 +1,7 @@
-"""A stand-in network in memory, whose links can be cut, silent or slow."""
+"""A stand-in network in memory.
+
+Its connections can be closed, lose all data, or delay messages.
+"""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -13,35 +16,43 @@
 
 __all__ = ["Links", "MemoryNetwork"]
 
+# Seconds until an attempt to connect over a silent link fails.
 _CONNECT_TIMEOUT = 1.0
 
 
 @dataclass(eq=False)
-class _Wire:
-    """One connection: who dialled whom, and what is wrong with it."""
+class _Connection:
+    """One connection between two processes.
+
+    :param source: the process that opened the connection.
+    :param sink: the process that accepted it.
+    :param silent: whether all data that is sent on it is lost.
+    """
 
     source: str
     sink: str
     silent: bool = False
-    ends: "list[_End]" = field(default_factory=list)
+    ends: "list[_ConnectionEnd]" = field(default_factory=list)
 
 
-class _End(trio.abc.Stream):
-    """One end of a connection."""
+class _ConnectionEnd(trio.abc.Stream):
+    """One end of a connection, as a stream."""
 
     def __init__(
-        self, inner: trio.abc.Stream, carried: _Wire, links: "Links"
+        self, inner: trio.abc.Stream, connection: _Connection, links: "Links"
     ) -> None:
         self._inner = inner
-        self._wire = carried
+        self._connection = connection
         self._links = links
 
     async def send_all(self, data: bytes | bytearray | memoryview) -> None:
-        delay = self._links.delay(self._wire.source, self._wire.sink)
+        delay = self._links.delay(
+            self._connection.source, self._connection.sink
+        )
         if delay:
             await trio.sleep(delay)
-        if self._wire.silent or self._links.is_silent(self._wire):
-            self._wire.silent = True
+        if self._connection.silent or self._links.is_silent(self._connection):
+            self._connection.silent = True
             await trio.lowlevel.checkpoint()
             return
         await self._inner.send_all(data)
@@ -55,7 +66,7 @@
         return await self._inner.receive_some(max_bytes)
 
     async def aclose(self) -> None:
-        if not self._wire.silent:
+        if not self._connection.silent:
             await self._inner.aclose()
             return
         await trio.lowlevel.checkpoint()
@@ -64,8 +75,8 @@
 class Links:
     """All links of one stand-in network.
 
-    A connection that was silent once stays silent; whether new ones work
-    is a matter of the link's present state.
+    A connection that was silent once stays silent.  Whether new connections
+    work depends on the present state of the link.
     """
 
     def __init__(self) -> None:
@@ -73,32 +84,32 @@
         self._silent: set[frozenset[str]] = set()
         self._isolated: set[str] = set()
         self._delays: dict[frozenset[str], float] = {}
-        self._wires: list[_Wire] = []
+        self._connections: list[_Connection] = []
         self._ports = 0
 
     def next_address(self) -> wire.Address:
-        """Return an address that nobody has."""
+        """Return an unused address."""
         self._ports += 1
         return wire.Address("127.0.0.1", self._ports)
 
     def set_delay(self, one: str, other: str, seconds: float) -> None:
-        """Let each message between two processes take a time."""
+        """Delay each message between two processes."""
         self._delays[frozenset((one, other))] = seconds
 
     def delay(self, one: str, other: str) -> float:
-        """Return the time that a message takes."""
+        """Return the delay of a message, in seconds."""
         return self._delays.get(frozenset((one, other)), 0.0)
 
     def silence(self, one: str, other: str) -> None:
-        """Lose everything between two processes, new connections too."""
+        """Lose all data between two processes, also on new connections."""
         self._silent.add(frozenset((one, other)))
 
     def heal(self, one: str, other: str) -> None:
-        """Let new connections between two processes work again."""
+        """Make new connections between two processes work again."""
         self._silent.discard(frozenset((one, other)))
 
     def isolate(self, name: str) -> None:
-        """Lose everything from and to a process, as if it lost power."""
+        """Lose all data from and to a process, as after a power failure."""
         self._isolated.add(name)
 
     def rejoin(self, name: str) -> None:
@@ -106,39 +117,47 @@
         self._isolated.discard(name)
 
     def silence_open(self, one: str, other: str) -> None:
-        """Lose everything on open connections; new ones work."""
-        for found in self._wires:
-            if {found.source, found.sink} == {one, other}:
-                found.silent = True
+        """Lose all data on open connections between two processes.
+
+        New connections work.
+        """
+        for connection in self._connections:
+            if {connection.source, connection.sink} == {one, other}:
+                connection.silent = True
 
     async def cut(self, one: str, other: str) -> None:
-        """Break the open connections between two processes."""
-        for found in self._wires:
-            if {found.source, found.sink} == {one, other}:
-                for end in found.ends:
+        """Close the open connections between two processes."""
+        for connection in self._connections:
+            if {connection.source, connection.sink} == {one, other}:
+                for end in connection.ends:
                     await end.aclose()
 
-    def is_silent(self, carried: _Wire) -> bool:
-        """Return whether a connection's link loses everything now."""
-        return not self.is_open(carried.source, carried.sink)
+    def is_silent(self, connection: _Connection) -> bool:
+        """Return whether a connection's link loses all data at present."""
+        return not self.is_open(connection.source, connection.sink)
 
     def is_open(self, one: str, other: str) -> bool:
-        """Return whether a link carries anything now."""
+        """Return whether a link transmits data at present."""
         if {one, other} & self._isolated:
             return False
         return frozenset((one, other)) not in self._silent
 
-    def open_wire(self, source: str, sink: str) -> tuple[_End, _End]:
+    def open_connection(
+        self, source: str, sink: str
+    ) -> tuple[_ConnectionEnd, _ConnectionEnd]:
         """Return both ends of a new connection."""
         one, other = trio.testing.memory_stream_pair()
-        carried = _Wire(source, sink)
-        carried.ends = [_End(one, carried, self), _End(other, carried, self)]
-        self._wires.append(carried)
-        return carried.ends[0], carried.ends[1]
+        connection = _Connection(source, sink)
+        connection.ends = [
+            _ConnectionEnd(one, connection, self),
+            _ConnectionEnd(other, connection, self),
+        ]
+        self._connections.append(connection)
+        return connection.ends[0], connection.ends[1]
 
 
 class MemoryNetwork:
-    """One process's part of a stand-in network.
+    """One process's access to a stand-in network.
 
     :param name: the process's name.
     """
@@ -150,14 +169,14 @@
     async def connect(self, address: wire.Address) -> trio.abc.Stream:
         """Open a connection."""
         await trio.lowlevel.checkpoint()
-        found = self._links.listeners.get(str(address))
-        if found is None:
+        listener = self._links.listeners.get(str(address))
+        if listener is None:
             raise errors.PeerError(f"{address} cannot be reached: refused")
-        name, accept = found
+        name, accept = listener
         if not self._links.is_open(self._name, name):
             await trio.sleep(_CONNECT_TIMEOUT)
             raise errors.PeerError(f"{address} cannot be reached: no answer")
-        near, far = self._links.open_wire(self._name, name)
+        near, far = self._links.open_connection(self._name, name)
         accept(far)
         return near
 
--- a/magnoliacove/standins/object_api.py
+++ b/magnoliacove/standins/object_api.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's object API, with faults to order."""
+"""A stand-in for the platform's object API, with injected faults."""
 
 from collections import deque
 from collections.abc import Mapping
@@ -15,24 +15,27 @@
 from magnoliacove.platform.eras import StoreEra
 from magnoliacove.platform.eras import split_revision
 
-__all__ = ["Copy", "Faults", "ObjectStore", "make_app"]
+__all__ = ["Faults", "ObjectStore", "StoreSnapshot", "make_app"]
 
-_HISTORY = 10_000
+# Number of past writes that watches can start from.
+_MAX_HISTORY = 10_000
 _OBJECTS = "/v1/objects/"
-# How many objects one page of a listing holds.
-_PAGE = 500
+# Number of objects on one page of a listing.
+_PAGE_SIZE = 500
 _OUTAGE_MESSAGE = "the platform is out of service"
 
 
 @dataclass
 class Faults:
-    """What goes wrong from now on.
+    """The faults that are injected at present.
 
-    :param outage: every call is refused.
+    :param outage: whether all calls are refused.
     :param delay: seconds that each call takes.
-    :param lost_answers: how many writes take effect without an answer.
-    :param dropped_watches: how many watches end with an error.
-    :param calls_per_second: further calls are refused; 0 for no limit.
+    :param lost_answers: number of writes that take effect without an
+        answer.
+    :param dropped_watches: number of watches that end with an error.
+    :param calls_per_second: limit above which calls are refused; 0 for no
+        limit.
     """
 
     outage: bool = False
@@ -43,18 +46,18 @@
 
 
 @dataclass(frozen=True)
-class Copy:
-    """What a store held at one revision."""
+class StoreSnapshot:
+    """The content of a store at one revision."""
 
     records: Mapping[str, api.Record]
     revision: int
 
 
 class ObjectStore:
-    """Holds objects in memory and implements the object API.
+    """An object store in memory that implements the object API.
 
-    It counts revisions as the platform's store does: after it came back from
-    a copy the numbers behind the copy are given out again.
+    It counts revisions as the platform's store does: after a restore from
+    an older snapshot it assigns the numbers after the snapshot again.
     """
 
     def __init__(self) -> None:
@@ -65,62 +68,65 @@
         self.waiting_watches = 0
         self._records: dict[str, api.Record] = {}
         self._revision = 0
-        self._history: deque[api.WatchEvent] = deque(maxlen=_HISTORY)
-        self._oldest = 0
+        self._history: deque[api.WatchEvent] = deque(maxlen=_MAX_HISTORY)
+        self._compacted_revision = 0
         self._changed = trio.Event()
         self._recent_calls: deque[float] = deque()
 
     async def get(self, name: str) -> api.Record | None:
-        """Return an object, or None when there is none."""
-        await self._enter("get")
+        """Return an object, or None if it does not exist."""
+        await self._begin_call("get")
         record = self._records.get(name)
-        return self._tell(record) if record else None
+        return self._add_era(record) if record else None
 
     async def list_records(
         self, prefix: str, *, stale: bool = False
     ) -> api.Listing:
         """Return the objects whose names start with a prefix."""
-        await self._enter("list")
-        found = (
-            self._tell(record)
+        await self._begin_call("list")
+        records = (
+            self._add_era(record)
             for name, record in self._records.items()
             if name.startswith(prefix)
         )
-        return api.Listing(tuple(found), self.era.join(self._revision))
+        return api.Listing(tuple(records), self.era.join(self._revision))
 
     async def put(
         self, name: str, value: bytes, if_version: int | None = None
     ) -> int:
         """Write an object and return its version."""
-        await self._enter("put")
+        await self._begin_call("put")
         self._check_version(name, if_version)
         record = api.Record(name, self._revision + 1, value)
         self._records[name] = record
-        self._note(record)
+        self._record_write(record)
         self._lose_answer()
         return self.era.join(record.version)
 
     async def delete(self, name: str, if_version: int | None = None) -> None:
-        """Delete an object, if it has the given version."""
-        await self._enter("delete")
+        """Delete an object if it has the given version."""
+        await self._begin_call("delete")
         self._check_version(name, if_version)
         if self._records.pop(name, None) is not None:
-            self._note(api.Record(name, 0, b""))
+            self._record_write(api.Record(name, 0, b""))
         self._lose_answer()
 
     async def watch(
         self, prefix: str, after: int, timeout: float
     ) -> tuple[tuple[api.WatchEvent, ...], int]:
         """Wait for writes under a prefix after a revision."""
-        await self._enter("watch")
+        await self._begin_call("watch")
         era = self.era.number
-        oldest, newest = self.era.join(self._oldest), self._revision
+        oldest, newest = (
+            self.era.join(self._compacted_revision),
+            self._revision,
+        )
         if not oldest <= after <= self.era.join(newest):
             raise api.CompactedError("the revision is compacted; list again")
         self.waiting_watches += 1
         try:
             with trio.move_on_after(timeout):
-                while not self._find(prefix, after):
+                while not self._find_events(prefix, after):
                     await self._changed.wait()
         finally:
             self.waiting_watches -= 1
@@ -130,39 +136,39 @@
             raise errors.PlatformError(
                 "the watch was dropped", errors.Outcome.NOT_RUN
             )
-        found = tuple(self._find(prefix, after))
-        return found, self.era.join(self._revision)
+        events = tuple(self._find_events(prefix, after))
+        return events, self.era.join(self._revision)
 
-    def copy(self) -> Copy:
-        """Return a copy of what is held now."""
-        return Copy(dict(self._records), self._revision)
+    def take_snapshot(self) -> StoreSnapshot:
+        """Return a snapshot of the present content."""
+        return StoreSnapshot(dict(self._records), self._revision)
 
-    def restore(self, copy: Copy) -> None:
-        """Come back from a copy: what was written since is lost."""
-        self._records = dict(copy.records)
-        self._revision = copy.revision
+    def restore(self, snapshot: StoreSnapshot) -> None:
+        """Restore an older snapshot; all writes after it are lost."""
+        self._records = dict(snapshot.records)
+        self._revision = snapshot.revision
         self.compact()
         self.era.note(self.era.number + 1, "the stand-in")
         self.wake_watches()
 
-    def _tell(self, record: api.Record) -> api.Record:
+    def _add_era(self, record: api.Record) -> api.Record:
         return replace(record, version=self.era.join(record.version))
 
     def holds(self, name: str) -> bool:
-        """Return whether an object exists, whatever the faults."""
+        """Return whether an object exists, regardless of faults."""
         return name in self._records
 
     def compact(self) -> None:
-        """Forget all past writes, as a platform does now and then."""
+        """Discard the history of writes, as a platform does periodically."""
         self._history.clear()
-        self._oldest = self._revision
+        self._compacted_revision = self._revision
 
     def wake_watches(self) -> None:
-        """Let waiting watches see the present faults."""
+        """Wake waiting watches so that they check for writes and faults."""
         self._changed.set()
         self._changed = trio.Event()
 
-    async def _enter(self, call: str) -> None:
+    async def _begin_call(self, call: str) -> None:
         self.counts[call] = self.counts.get(call, 0) + 1
         await trio.lowlevel.checkpoint()
         if self.faults.delay:
@@ -178,7 +184,7 @@
         now = trio.current_time()
         while self._recent_calls and self._recent_calls[0] <= now - 1.0:
             self._recent_calls.popleft()
-        # A waiting watch counts as one call of each second it waits.
+        # A waiting watch counts as one call in each second of its wait.
         if len(self._recent_calls) + self.waiting_watches >= limit:
             raise errors.PlatformError(
                 "the platform's rate limit is reached",
@@ -194,12 +200,14 @@
                 f"{name} has version {version}, not {if_version}"
             )
 
-    def _note(self, record: api.Record) -> None:
+    def _record_write(self, record: api.Record) -> None:
         self._revision += 1
-        if len(self._history) == _HISTORY:
-            self._oldest = split_revision(self._history[0].revision)[1]
+        if len(self._history) == _MAX_HISTORY:
+            self._compacted_revision = split_revision(
+                self._history[0].revision
+            )[1]
         if record.version:
-            record = self._tell(record)
+            record = self._add_era(record)
         revision = self.era.join(self._revision)
         self._history.append(api.WatchEvent(revision, record))
         self.wake_watches()
@@ -211,7 +219,7 @@
                 "the answer was lost", errors.Outcome.MAY_HAVE_RUN
             )
 
-    def _find(self, prefix: str, after: int) -> list[api.WatchEvent]:
+    def _find_events(self, prefix: str, after: int) -> list[api.WatchEvent]:
         if self.faults.dropped_watches or self.faults.outage:
             return [api.WatchEvent(0, api.Record("", 0, b""))]
         return [
@@ -224,13 +232,13 @@
 def make_app(store: ObjectStore) -> web.App:
     """Return an ASGI application that serves a store over HTTP.
 
-    ``POST /faults`` with a JSON object sets the faults.
+    ``POST /faults`` with a JSON object sets the given faults.
     """
 
     async def answer(request: web.Request) -> web.Response:
-        found = await answer_call(request)
+        response = await answer_call(request)
         era = str(store.era.number).encode()
-        return replace(found, headers=((b"store-era", era),))
+        return replace(response, headers=((b"store-era", era),))
 
     async def answer_call(request: web.Request) -> web.Response:
         if request.path == "/faults":
@@ -240,15 +248,15 @@
             return web.Response(200, store.faults.__dict__)
         try:
             return web.Response(200, await _dispatch(store, request))
-        except api.VersionConflictError as why:
-            return web.Response(409, {"error": str(why)})
-        except api.CompactedError as why:
-            return web.Response(410, {"error": str(why)})
-        except errors.NotFoundError as why:
-            return web.Response(404, {"error": str(why)})
-        except errors.PlatformError as why:
-            known = why.outcome is errors.Outcome.NOT_RUN
-            return web.Response(503 if known else 500, {"error": str(why)})
+        except api.VersionConflictError as exc:
+            return web.Response(409, {"error": str(exc)})
+        except api.CompactedError as exc:
+            return web.Response(410, {"error": str(exc)})
+        except errors.NotFoundError as exc:
+            return web.Response(404, {"error": str(exc)})
+        except errors.PlatformError as exc:
+            not_run = exc.outcome is errors.Outcome.NOT_RUN
+            return web.Response(503 if not_run else 500, {"error": str(exc)})
 
     return web.make_app(answer)
 
@@ -263,8 +271,8 @@
             raise errors.NotFoundError(f"there is no {kind} {name}")
         return _write_object(record)
     if request.method == "DELETE":
-        wanted = request.query.get("revision")
-        version = None if wanted is None else store.era.join(int(wanted))
+        revision = request.query.get("revision")
+        version = None if revision is None else store.era.join(int(revision))
         await store.delete(f"{kind}/{name}", version)
         return {}
     data = json.loads(request.body)
@@ -288,21 +296,21 @@
         seconds = float(query["wait_ms"]) / 1000
         after = store.era.join(int(query["watch"]))
         events, revision = await store.watch(f"{kind}/", after, seconds)
-        written = [
+        entries = [
             {
                 "removed": not event.record.version,
                 "object": _write_object(event.record),
             }
             for event in events
         ]
-        return {"events": written, "as_of": split_revision(revision)[1]}
+        return {"events": entries, "as_of": split_revision(revision)[1]}
     listing = await store.list_records(f"{kind}/")
     ordered = sorted(listing.records, key=lambda record: record.name)
     start = f"{kind}/{query.get('after', '')}"
-    rest = [record for record in ordered if record.name > start]
+    following = [record for record in ordered if record.name > start]
     return {
-        "items": [_write_object(record) for record in rest[:_PAGE]],
-        "has_more": len(rest) > _PAGE,
+        "items": [_write_object(record) for record in following[:_PAGE_SIZE]],
+        "has_more": len(following) > _PAGE_SIZE,
         "as_of": split_revision(listing.revision)[1],
     }
 
--- a/magnoliacove/standins/plain.py
+++ b/magnoliacove/standins/plain.py
@@ -1,4 +1,4 @@
-"""A stand-in plain service that counts what it ran."""
+"""A stand-in plain service that records the requests it ran."""
 
 from collections.abc import AsyncIterator
 from collections.abc import Sequence
@@ -17,10 +17,10 @@
 
 @dataclass
 class PlainFaults:
-    """What goes wrong from now on.
+    """The faults that are injected at present.
 
-    :param delay: seconds before the answer.
-    :param lost_answers: how many requests run without an answer.
+    :param delay: seconds before each answer.
+    :param lost_answers: number of requests that run without an answer.
     """
 
     delay: float = 0.0
@@ -28,7 +28,7 @@
 
 
 class StandInPlain:
-    """Answers each request with what it was and how often its body ran."""
+    """Answers each request with its content and how often it has run."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -36,7 +36,7 @@
         self.runs: list[tuple[str, str, bytes]] = []
 
     async def run(self, request: web.Request) -> web.Response:
-        """Run one request."""
+        """Run one request and return its answer."""
         run = (request.method, request.path, request.body)
         self.runs.append(run)
         count = self.runs.count(run)
@@ -53,7 +53,7 @@
 
 
 class DirectPlainTarget:
-    """Calls a stand-in plain service without HTTP."""
+    """A target that calls a stand-in plain service without HTTP."""
 
     def __init__(self, service: StandInPlain) -> None:
         self._service = service
@@ -67,7 +67,7 @@
         body: bytes,
         timeout: float,
     ) -> AsyncIterator[targets.PlainAnswer]:
-        """Pass a request on."""
+        """Run a request on the service and yield its answer."""
         response = await self._service.run(
             web.Request(method, path, {}, body, {})
         )
@@ -80,17 +80,17 @@
                 outcome=errors.Outcome.MAY_HAVE_RUN,
             )
 
-        async def give() -> AsyncIterator[bytes]:
+        async def iterate_body() -> AsyncIterator[bytes]:
             yield response.body
 
-        yield targets.PlainAnswer(response.status, (), give())
+        yield targets.PlainAnswer(response.status, (), iterate_body())
 
 
 def make_app(service: StandInPlain) -> web.App:
-    """Return an ASGI application around the service.
+    """Return an ASGI application that serves a plain service over HTTP.
 
-    ``POST /faults`` with a JSON object sets the faults, and ``GET /runs``
-    lists what ran.
+    ``POST /faults`` with a JSON object sets the given faults, and
+    ``GET /runs`` lists the requests that ran.
     """
 
     async def answer(request: web.Request) -> web.Response:
--- a/measure/control.py
+++ b/measure/control.py
@@ -45,7 +45,7 @@
 
 async def _change(fleet: fleets.Fleet, weight: float) -> int:
     """Commit a change as an entry does for an operator."""
-    view = fleet.entries["entry-0"].made.process.view
+    view = fleet.entries["entry-0"].server.process.view
     journal = configuration.Journal(fleet.store)
     put = configuration.Put(configuration.ClientAccount("other", (), weight))
     clock = timeline.Clock(fleet.read_time)
@@ -57,7 +57,7 @@
 
 def _list_processes(fleet: fleets.Fleet) -> list[Any]:
     return [
-        running.made.process
+        running.server.process
         for running in (*fleet.entries.values(), *fleet.agents.values())
         if not running.scope.cancel_called
     ]
@@ -82,7 +82,7 @@
 
 def _measure_bytes(fleet: fleets.Fleet) -> float:
     """Return the bytes that an entry's connections to agents carried."""
-    pool = fleet.entries["entry-0"].made.pool
+    pool = fleet.entries["entry-0"].server.pool
     total = 0.0
     for peer in pool._peers.values():
         if peer.connection is not None:
@@ -111,7 +111,7 @@
         holder = next(
             running
             for running in fleet.entries.values()
-            if running.made.distribution.lease.held
+            if running.server.distribution.lease.held
         )
         fleet.kill(holder)
         killed = await _time_change(fleet, 50.0)
@@ -119,11 +119,11 @@
         holder = next(
             running
             for running in fleet.entries.values()
-            if running.made.distribution.lease.held
+            if running.server.distribution.lease.held
             and not running.scope.cancel_called
         )
         fleet.links.isolate(  # type: ignore[union-attr]
-            holder.made.process.identity.name
+            holder.server.process.identity.name
         )
         silent = await _time_change(fleet, 51.0)
         await trio.sleep(10)
--- a/measure/recovery.py
+++ b/measure/recovery.py
@@ -61,7 +61,7 @@
 
 def _used(fleet: fleets.Fleet, first_layer: int) -> str:
     names = [n for n in fleet.agents if n.startswith(f"llm-{first_layer}-")]
-    return max(names, key=lambda n: len(fleet.agents[n].made.stages.stages))
+    return max(names, key=lambda n: len(fleet.agents[n].server.stages.stages))
 
 
 async def _stream(fleet: fleets.Fleet, entry: str, load: _Load) -> None:
@@ -75,7 +75,7 @@
         last = now
 
     body = callers.make_body("lot", _TOKENS, stream=True)
-    app = fleet.entries[entry].made.app
+    app = fleet.entries[entry].server.app
     answer = await callers.ask(
         app, "POST", "/v1/completions", body, None, note
     )
@@ -104,7 +104,7 @@
     key = _mint(fleet.read_time(), rng)
     for _ in range(30):
         answer = await callers.ask(
-            fleet.entries[entry].made.app,
+            fleet.entries[entry].server.app,
             "POST",
             f"/services/{fleets.PLAIN}/bids",
             key.encode(),
@@ -256,7 +256,7 @@
 def _linked(fleet: fleets.Fleet) -> tuple[str, str]:
     """Return two agents of which one sends to the other."""
     one = _used(fleet, 0)
-    stages = fleet.agents[one].made.stages.stages
+    stages = fleet.agents[one].server.stages.stages
     return one, next(iter(stages.values())).opened.next_name
 
 
@@ -281,7 +281,7 @@
 
 async def _kill_distributor(fleet: fleets.Fleet) -> None:
     for running in fleet.entries.values():
-        if running.made.distribution.lease.held:
+        if running.server.distribution.lease.held:
             fleet.kill(running)
             return
 
@@ -304,7 +304,7 @@
 
 
 async def _drain(fleet: fleets.Fleet) -> None:
-    await fleet.agents[_used(fleet, 3)].made.drain()
+    await fleet.agents[_used(fleet, 3)].server.drain()
 
 
 async def _nothing(fleet: fleets.Fleet) -> None:
--- a/soak/restores.py
+++ b/soak/restores.py
@@ -13,7 +13,7 @@
 
 import trio
 
-from magnoliacove.standins.object_api import Copy
+from magnoliacove.standins.object_api import StoreSnapshot
 from soak.play import Soak
 
 __all__ = ["Beside", "RestoreSoak"]
@@ -60,7 +60,7 @@
 
     async def _restore_store(self) -> None:
         beside = self._beside or self._rng.choice(list(Beside))
-        copy = self._store.copy()
+        copy = self._store.take_snapshot()
         await trio.sleep(self._rng.uniform(*_AGES))
         async with trio.open_nursery() as nursery:
             if beside is Beside.FROZEN:
@@ -73,7 +73,7 @@
                 await trio.sleep(self._rng.uniform(0.0, 2.0))
                 await self._come_back(copy)
 
-    async def _come_back(self, copy: Copy) -> None:
+    async def _come_back(self, copy: StoreSnapshot) -> None:
         """Let the store be away, come back and be written to again."""
         self._store.faults.outage = True
         self._store.wake_watches()
@@ -92,7 +92,7 @@
         """
         await super()._check_recovery()
         name = next(n for n in sorted(self._states) if n.startswith("llm"))
-        copy = self._store.copy()
+        copy = self._store.take_snapshot()
         for state in ("draining", "ready") * 3:
             await self._write_entry(name, state)
         await self._come_back(copy)
--- a/tests/commands/test_commands.py
+++ b/tests/commands/test_commands.py
@@ -96,7 +96,7 @@
 async def test_operators_day(tmp_path):
     """Create, change, plan, apply, drain and inspect, as a person would."""
     async with fleets.open_fleet() as fleet:
-        url = fleet.entries["entry-0"].made.operators_url
+        url = fleet.entries["entry-0"].server.operators_url
 
         def invoke(*args, text=None):
             flags = ["--server", url, "--operator-key", fleets.OPERATOR_KEY]
--- a/tests/directory/test_leases.py
+++ b/tests/directory/test_leases.py
@@ -98,7 +98,7 @@
     store = object_api.ObjectStore()
     first, second = _make(store, "a/1"), _make(store, "b/1")
     await first.try_take()
-    copy = store.copy()
+    copy = store.take_snapshot()
     await first.release()
     assert await second.try_take()
     assert second.fence == 2
@@ -120,7 +120,7 @@
     if held_before:
         await holder.try_take()
         await holder.release()
-    copy = store.copy()
+    copy = store.take_snapshot()
     await holder.try_take()
     await _restore(store, copy)
     assert not await other.try_take()
@@ -141,7 +141,7 @@
     """
     store = object_api.ObjectStore()
     await _make(store, "a/1").try_take()
-    copy = store.copy()
+    copy = store.take_snapshot()
     await trio.sleep(3.0)
     holder = _make(store, "b/1")
     await holder.try_take()
@@ -165,7 +165,7 @@
     rng = random.Random(seed)
     store = object_api.ObjectStore()
     leases = [_make(store, f"{name}/1") for name in "abc"]
-    copies = [store.copy()]
+    copies = [store.take_snapshot()]
     fences = [0]
 
     async def take_part(lease):
@@ -179,7 +179,7 @@
     async def spoil():
         while True:
             await trio.sleep(rng.uniform(0.1, 6.0))
-            copies.append(store.copy())
+            copies.append(store.take_snapshot())
             await trio.sleep(rng.uniform(0.1, 6.0))
             copy = rng.choice(copies[-3:])
             await _restore(store, copy, rng.uniform(0.1, 3.0))
--- a/tests/entry/test_distribution.py
+++ b/tests/entry/test_distribution.py
@@ -9,7 +9,7 @@
 def _list_versions(fleet):
     processes = [*fleet.entries.values(), *fleet.agents.values()]
     return {
-        p.made.process.identity.name: p.made.process.view.version
+        p.server.process.identity.name: p.server.process.view.version
         for p in processes
         if not p.scope.cancel_called
     }
@@ -24,7 +24,7 @@
     return next(
         name
         for name, running in fleet.entries.items()
-        if running.made.distribution.lease.held
+        if running.server.distribution.lease.held
     )
 
 
@@ -138,7 +138,7 @@
         )
         await trio.sleep(2)
         usable = [
-            running.made.pool.is_usable("llm-0-0")
+            running.server.pool.is_usable("llm-0-0")
             for running in fleet.entries.values()
         ]
         text = await fakes.stream(fleet, "lot", 9)
--- a/tests/entry/test_path.py
+++ b/tests/entry/test_path.py
@@ -11,7 +11,7 @@
 
 async def test_answer_crosses_two_instances():
     async with fleets.open_fleet() as fleet:
-        caller = fleets.Caller(fleet.entries["entry-0"].made.callers_url)
+        caller = fleets.Caller(fleet.entries["entry-0"].server.callers_url)
         text = await caller.complete("lot 1", 12)
         used = {name for name, e in fleet.engines.items() if e.steps_run}
     assert text == fakes.expect("lot 1", 12)
@@ -20,7 +20,7 @@
 
 async def _stream_with_kill(first_layer):
     async with fleets.open_fleet(cuts=(0, 3, 5, 8)) as fleet:
-        caller = fleets.Caller(fleet.entries["entry-0"].made.callers_url)
+        caller = fleets.Caller(fleet.entries["entry-0"].server.callers_url)
         text, count = "", 0
         async for token in caller.stream("lot 2", 20):
             text += token
@@ -52,7 +52,7 @@
 
 async def test_stock_openai_client():
     async with fleets.open_fleet() as fleet:
-        url = fleet.entries["entry-0"].made.callers_url + "/v1"
+        url = fleet.entries["entry-0"].server.callers_url + "/v1"
 
         def call():
             client = openai.OpenAI(
@@ -96,7 +96,7 @@
 
 async def test_plain_service_passes_through():
     async with fleets.open_fleet() as fleet:
-        caller = fleets.Caller(fleet.entries["entry-0"].made.callers_url)
+        caller = fleets.Caller(fleet.entries["entry-0"].server.callers_url)
         answer = await caller.request("GET", "/services/bid-desk/lots/7?a=b")
     body = json.loads(answer.content)
     assert answer.status == 200
--- a/tests/entry/test_streams.py
+++ b/tests/entry/test_streams.py
@@ -135,7 +135,7 @@
         async def kill_next():
             await trio.sleep(0.06)
             for name, running in fleet.agents.items():
-                if name.startswith("llm-3-") and running.made.stages.stages:
+                if name.startswith("llm-3-") and running.server.stages.stages:
                     fleet.kill(running)
 
         async with trio.open_nursery() as nursery:
@@ -194,7 +194,7 @@
             async def on_token(count):
                 if count == 7:
                     leaving = fleet.agents[fakes.find_used(fleet, 3)]
-                    nursery.start_soon(leaving.made.drain)
+                    nursery.start_soon(leaving.server.drain)
 
             text = await fakes.stream(fleet, "lot", tokens, on_token)
             cancelled = nursery.cancel_scope.cancel_called
@@ -216,7 +216,7 @@
     stood idle until their deadline.
     """
     async with fakes.open_memory_fleet() as fleet:
-        pool = fleet.entries["entry-0"].made.pool
+        pool = fleet.entries["entry-0"].server.pool
         target = configuration.Target(
             "llm-0-0", "catalog-llm", "gent-a", "", 0, 4, "draining"
         )
@@ -242,12 +242,12 @@
             await fakes.stream(fleet, "lot", _TOKENS, on_token)
         await trio.sleep(2)
         held = [
-            running.made.stages.stages
+            running.server.stages.stages
             for running in fleet.agents.values()
-            if running.made.stages
+            if running.server.stages
         ]
         assert not any(held)
-        assert not fleet.entries["entry-0"].made.pool.receivers
+        assert not fleet.entries["entry-0"].server.pool.receivers
 
 
 async def test_no_target_is_said_at_once(autojump_clock):
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -20,7 +20,7 @@
     fleet, method, path, body=b"", headers=None, entry="entry-0", on_part=None
 ):
     """Send one request to an entry's application and return the answer."""
-    app = fleet.entries[entry].made.app
+    app = fleet.entries[entry].server.app
     return await callers.ask(app, method, path, body, headers, on_part)
 
 
@@ -49,7 +49,7 @@
         name
         for name, running in fleet.agents.items()
         if name.startswith(f"llm-{first_layer}-")
-        and running.made.stages.stages
+        and running.server.stages.stages
     )
 
 
--- a/tests/gateway/test_restored_store.py
+++ b/tests/gateway/test_restored_store.py
@@ -34,7 +34,7 @@
     def __init__(self, store, state):
         self.store = store
         self.state = state
-        self._copy = store.copy()
+        self._copy = store.take_snapshot()
 
     async def write(self, name, value):
         await self.store.put(name, json.dumps(value).encode())
@@ -48,7 +48,7 @@
             await self.write("other/x", number)
 
     async def copy(self):
-        self._copy = self.store.copy()
+        self._copy = self.store.take_snapshot()
         await self.pass_time()
         await trio.sleep(0.5)
 
--- a/tests/operators/test_service.py
+++ b/tests/operators/test_service.py
@@ -18,7 +18,7 @@
 
 
 def _url(fleet):
-    return fleet.entries["entry-0"].made.operators_url
+    return fleet.entries["entry-0"].server.operators_url
 
 
 def _call_grpc(url, method, request, reply, key=fleets.OPERATOR_KEY):
@@ -100,7 +100,7 @@
     put = conversion.write_put(account, 0)
     async with fleets.open_fleet() as fleet:
         client = clients.OperatorsClient(_url(fleet), fleets.OPERATOR_KEY)
-        before = fleet.entries["entry-0"].made.process.view.version
+        before = fleet.entries["entry-0"].server.process.view.version
         request = pb.ApplyRequest(change_id="c1", operations=[put])
         call = client._call
         first = await _IN_THREAD(call, client._client.apply, request)
--- a/tests/timeline/test_timeline.py
+++ b/tests/timeline/test_timeline.py
@@ -76,7 +76,7 @@
 
 async def test_command_gathers_from_processes():
     async with fleets.open_fleet() as fleet:
-        caller = fleets.Caller(fleet.entries["entry-0"].made.callers_url)
+        caller = fleets.Caller(fleet.entries["entry-0"].server.callers_url)
         await caller.complete("lot", 4)
         processes = [*fleet.entries.values(), *fleet.agents.values()]
         flags = []
