--- a/magnoliacove/standins/engine.py
+++ b/magnoliacove/standins/engine.py
@@ -136,7 +136,7 @@
         await self._apply_faults()
         steps = [_PendingStep(item) for item in inputs]
         self._pending.extend(steps)
-        while not all(step.done.is_set() for step in steps):
+        while not all(pending.done.is_set() for pending in steps):
             if self._busy:
                 unfinished = next(s for s in steps if not s.done.is_set())
                 await unfinished.done.wait()
@@ -153,13 +153,13 @@
     async def export_cache(self, stream: str) -> tuple[int, bytes]:
         """Return a stream's next step and KV cache."""
         await self._apply_faults()
-        cache = self._caches.get(stream)
-        if cache is None:
+        stream_cache = self._caches.get(stream)
+        if stream_cache is None:
             raise engine.EngineError(
                 f"stream {stream} is not held", errors.Outcome.NOT_RUN
             )
-        states = {str(k): v.hex() for k, v in cache.states.items()}
-        return cache.next_step, json.dumps(states).encode()
+        states = {str(k): v.hex() for k, v in stream_cache.states.items()}
+        return stream_cache.next_step, json.dumps(states).encode()
 
     async def import_cache(
         self, stream: str, next_step: int, data: bytes
@@ -199,7 +199,7 @@
 
     async def _run_batch(self) -> None:
         self._busy = True
-        self._pending.sort(key=lambda step: -step.item.priority)
+        self._pending.sort(key=lambda pending: -pending.item.priority)
         batch = self._pending[: self._max_batch]
         del self._pending[: self._max_batch]
         prompts = sum(len(s.item.payload) for s in batch if s.item.step == 0)
@@ -210,30 +210,33 @@
         )
         try:
             await trio.sleep(duration * self.faults.slowdown)
-            for step in batch:
-                step.output = self._run_step(step.item)
+            for pending in batch:
+                pending.output = self._run_step(pending.item)
         finally:
             self._busy = False
-            for step in batch:
-                step.done.set()
-            for step in self._pending:
+            for pending in batch:
+                pending.done.set()
+            for pending in self._pending:
                 # Wake the callers that still wait: one runs the next batch.
-                step.done.set()
-                step.done = trio.Event()
+                pending.done.set()
+                pending.done = trio.Event()
 
     def _run_step(self, item: engine.StepInput) -> engine.StepOutput:
-        cache = self._caches.setdefault(item.stream, _StreamCache())
-        if item.step != cache.next_step:
+        stream_cache = self._caches.setdefault(item.stream, _StreamCache())
+        if item.step != stream_cache.next_step:
             return engine.StepOutput(
                 item.stream,
                 item.step,
-                error=f"step {item.step} came where {cache.next_step} was due",
+                error=f"step {item.step} came where "
+                f"{stream_cache.next_step} was due",
             )
         value = item.payload
         for layer in range(item.first_layer, item.end_layer):
-            value = _run_layer(layer, cache.states.get(layer, b""), value)
-            cache.states[layer] = value
-        cache.next_step += 1
+            value = _run_layer(
+                layer, stream_cache.states.get(layer, b""), value
+            )
+            stream_cache.states[layer] = value
+        stream_cache.next_step += 1
         self.steps_run.append(
             (item.stream, item.step, item.first_layer, item.end_layer)
         )
--- a/magnoliacove/standins/fleet.py
+++ b/magnoliacove/standins/fleet.py
@@ -102,7 +102,7 @@
 
     def list_objects(self) -> list[configuration.ConfigurationObject]:
         """Return the configuration objects of the whole fleet."""
-        objects: list[configuration.ConfigurationObject] = [
+        config_objects: list[configuration.ConfigurationObject] = [
             configuration.DataCentre("gent-a", "be-vla"),
             configuration.Service(MODEL, "model", self.layers, deadline=30.0),
             configuration.Service(
@@ -116,15 +116,15 @@
                 "lannoy", (configuration.hash_key(API_KEY),)
             ),
         ]
-        objects.extend(
+        config_objects.extend(
             configuration.Target(name, MODEL, "gent-a", "", first, end)
             for name, first, end in self.list_ranges()
         )
-        objects.extend(
+        config_objects.extend(
             configuration.Target(name, PLAIN, "gent-a")
             for name in self.list_plain()
         )
-        return objects
+        return config_objects
 
     def list_ranges(self) -> list[tuple[str, int, int]]:
         """Return the model's targets with their first and end layers."""
--- a/magnoliacove/standins/object_api.py
+++ b/magnoliacove/standins/object_api.py
@@ -271,8 +271,8 @@
             raise errors.NotFoundError(f"there is no {kind} {name}")
         return _write_object(record)
     if request.method == "DELETE":
-        revision = request.query.get("revision")
-        version = None if revision is None else store.era.join(int(revision))
+        expected = request.query.get("revision")
+        version = None if expected is None else store.era.join(int(expected))
         await store.delete(f"{kind}/{name}", version)
         return {}
     data = json.loads(request.body)
