--- a/magnoliacove/agent/orders.py
+++ b/magnoliacove/agent/orders.py
@@ -75,6 +75,7 @@
         if order.fence < self.highest_fence:
             raise errors.StaleOrderError(
                 f"fencing number {order.fence} is older than "
-                f"{self.highest_fence}; {order.holder} no longer holds the lease"
+                f"{self.highest_fence}; {order.holder} "
+                "no longer holds the lease"
             )
         self.highest_fence = order.fence
