--- a/tests/directory/test_leases.py
+++ b/tests/directory/test_leases.py
@@ -99,7 +99,7 @@
     store = object_api.ObjectStore()
     first, second = _make_lease(store, "a/1"), _make_lease(store, "b/1")
     await first.try_acquire()
-    snapshot = store.copy()
+    snapshot = store.take_snapshot()
     await first.release()
     assert await second.try_acquire()
     assert second.fence == 2
@@ -122,7 +122,7 @@
     if released_before:
         await holder.try_acquire()
         await holder.release()
-    snapshot = store.copy()
+    snapshot = store.take_snapshot()
     await holder.try_acquire()
     await _restore(store, snapshot)
     assert not await other.try_acquire()
@@ -144,7 +144,7 @@
     """
     store = object_api.ObjectStore()
     await _make_lease(store, "a/1").try_acquire()
-    snapshot = store.copy()
+    snapshot = store.take_snapshot()
     await trio.sleep(3.0)
     holder = _make_lease(store, "b/1")
     await holder.try_acquire()
@@ -169,7 +169,7 @@
     rng = random.Random(seed)
     store = object_api.ObjectStore()
     leases = [_make_lease(store, f"{name}/1") for name in "abc"]
-    snapshots = [store.copy()]
+    snapshots = [store.take_snapshot()]
     fences = [0]
 
     async def use_lease(lease):
@@ -183,7 +183,7 @@
     async def disturb():
         while True:
             await trio.sleep(rng.uniform(0.1, 6.0))
-            snapshots.append(store.copy())
+            snapshots.append(store.take_snapshot())
             await trio.sleep(rng.uniform(0.1, 6.0))
             snapshot = rng.choice(snapshots[-3:])
             await _restore(store, snapshot, rng.uniform(0.1, 3.0))
--- a/tests/entry/test_streams.py
+++ b/tests/entry/test_streams.py
@@ -135,7 +135,7 @@
         async def kill_next():
             await trio.sleep(0.06)
             for name, running in fleet.agents.items():
-                if name.startswith("llm-3-") and running.made.stages.stages:
+                if name.startswith("llm-3-") and running.server.stages.stages:
                     fleet.kill(running)
 
         async with trio.open_nursery() as nursery:
@@ -193,7 +193,7 @@
             async def on_token(count):
                 if count == 7:
                     leaving = fleet.agents[fakes.find_used(fleet, 3)]
-                    nursery.start_soon(leaving.made.drain)
+                    nursery.start_soon(leaving.server.drain)
 
             text = await fakes.stream(fleet, "lot", tokens, on_token)
             cancelled = nursery.cancel_scope.cancel_called
@@ -215,7 +215,7 @@
     deadline for a target that is idle.
     """
     async with fakes.open_memory_fleet() as fleet:
-        pool = fleet.entries["entry-0"].made.pool
+        pool = fleet.entries["entry-0"].server.pool
         target = configuration.Target(
             "llm-0-0", "catalog-llm", "gent-a", "", 0, 4, "draining"
         )
@@ -241,12 +241,12 @@
             await fakes.stream(fleet, "lot", _TOKENS, on_token)
         await trio.sleep(2)
         open_stages = [
-            running.made.stages.stages
+            running.server.stages.stages
             for running in fleet.agents.values()
-            if running.made.stages
+            if running.server.stages
         ]
         assert not any(open_stages)
-        assert not fleet.entries["entry-0"].made.pool.receivers
+        assert not fleet.entries["entry-0"].server.pool.receivers
 
 
 async def test_missing_target_is_reported_at_once(autojump_clock):
--- a/tests/gateway/test_restored_store.py
+++ b/tests/gateway/test_restored_store.py
@@ -34,7 +34,7 @@
     def __init__(self, store, state):
         self.store = store
         self.state = state
-        self._snapshot = store.copy()
+        self._snapshot = store.take_snapshot()
 
     async def write(self, name, value):
         await self.store.put(name, json.dumps(value).encode())
@@ -48,7 +48,7 @@
             await self.write("other/x", number)
 
     async def copy(self):
-        self._snapshot = self.store.copy()
+        self._snapshot = self.store.take_snapshot()
         await self.grow_revision()
         await trio.sleep(0.5)
 
