--- a/magnoliacove/agent/keeper.py
+++ b/magnoliacove/agent/keeper.py
@@ -199,7 +199,7 @@
         the next owner would run it again.
         """
         lead = ownership.lead(request.key)
-        if lead > defaults.KEY_MOST_AHEAD:
+        if lead > defaults.MAX_KEY_LEAD:
             raise errors.RequestError(
                 "key_from_future",
                 f"the idempotency key was minted by a clock {lead:.0f} s "
--- a/magnoliacove/agent/process.py
+++ b/magnoliacove/agent/process.py
@@ -144,7 +144,7 @@
         process.recorder.record("draining", why="the instance is stopping")
         leaving = process.describe("leaving")
         process.view.adopt_entries([leaving])
-        process.tell_connected(
+        process.broadcast(
             messages.Instances((directory.write_entry(leaving),))
         )
         with trio.move_on_after(defaults.DRAIN_TIMEOUT) as scope:
@@ -156,9 +156,7 @@
             left=self.load.running,
         )
         process.view.adopt_entries([gone := process.describe("gone")])
-        process.tell_connected(
-            messages.Instances((directory.write_entry(gone),))
-        )
+        process.broadcast(messages.Instances((directory.write_entry(gone),)))
         with trio.move_on_after(defaults.STORE_TIMEOUT):
             with contextlib.suppress(
                 errors.PlatformError, platform.VersionConflictError
@@ -357,7 +355,7 @@
             await self.process.view.wait_changed()
             leaving = self.is_leaving()
             if leaving != told:
-                self.process.tell_connected(self._make_pong(0))
+                self.process.broadcast(self._make_pong(0))
             told = leaving
 
     # Metrics.
--- a/magnoliacove/configuration/journal.py
+++ b/magnoliacove/configuration/journal.py
@@ -129,7 +129,9 @@
                 # The next turn looks for its id before it writes again.
                 if attempt == _COMMIT_TRIES - 1:
                     break
-                await trio.sleep(defaults.STORE_RETRY_FIRST * 2**attempt)
+                await trio.sleep(
+                    defaults.INITIAL_STORE_RETRY_DELAY * 2**attempt
+                )
         raise errors.PlatformError(
             "the platform's object API does not answer; repeat the call "
             f"with the same change id {change_id} once it does",
--- a/magnoliacove/directory/backoff.py
+++ b/magnoliacove/directory/backoff.py
@@ -14,8 +14,8 @@
 
     def __init__(
         self,
-        first: float = defaults.STORE_RETRY_FIRST,
-        most: float = defaults.STORE_RETRY_MOST,
+        first: float = defaults.INITIAL_STORE_RETRY_DELAY,
+        most: float = defaults.MAX_STORE_RETRY_DELAY,
     ) -> None:
         self._first = first
         self._most = most
--- a/magnoliacove/entry/openai.py
+++ b/magnoliacove/entry/openai.py
@@ -60,7 +60,7 @@
 
 def _read_max_tokens(value: Any) -> int:
     if value is None:
-        return defaults.MAX_TOKENS
+        return defaults.DEFAULT_MAX_TOKENS
     most = defaults.MAX_TOKENS_LIMIT
     if isinstance(value, bool) or not isinstance(value, int):
         raise _bad("'max_tokens' must be a whole number")
--- a/magnoliacove/entry/pipelines.py
+++ b/magnoliacove/entry/pipelines.py
@@ -88,7 +88,12 @@
                 parts.append(text)
 
             request = openai.ModelRequest(
-                service.name, value, defaults.MAX_TOKENS, False, False, False
+                service.name,
+                value,
+                defaults.DEFAULT_MAX_TOKENS,
+                False,
+                False,
+                False,
             )
             await self._runs.run_model(name, account, service, request, emit)
             return b"".join(parts)
--- a/magnoliacove/metrics.py
+++ b/magnoliacove/metrics.py
@@ -21,7 +21,7 @@
 _BUCKETS = (0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0)
 # Updates that are kept until the library is loaded: it is then, if nobody
 # asked for metrics before.
-_MOST_EARLY = 2_000
+_MAX_PENDING_UPDATES = 2_000
 
 
 class Meters:
@@ -110,7 +110,7 @@
     def _keep(self, update: Callable[[], None]) -> None:
         """Keep an update until the library is loaded."""
         self._early.append(update)
-        if len(self._early) >= _MOST_EARLY:
+        if len(self._early) >= _MAX_PENDING_UPDATES:
             self._load()
 
     def _load(self) -> "aioprometheus.Registry":
--- a/magnoliacove/process.py
+++ b/magnoliacove/process.py
@@ -167,7 +167,7 @@
                 stream,
                 self.recorder.clock,
                 self.make_hello,
-                read_pace=lambda _: defaults.FEED_PACE,
+                read_pace=lambda _: defaults.FEED_HEARTBEAT_INTERVAL,
             )
             async with trio.open_nursery() as nursery:
                 if watch is not None:
@@ -187,7 +187,7 @@
                 self.feed.drop(connection)
         return began
 
-    def tell_connected(self, message: messages.Message) -> None:
+    def broadcast(self, message: messages.Message) -> None:
         """Send a message to everybody who has dialled this process."""
         for connection in tuple(self._connections):
             try:
--- a/magnoliacove/timeline/events.py
+++ b/magnoliacove/timeline/events.py
@@ -78,7 +78,7 @@
         process: str,
         clock: Clock | None = None,
         *,
-        kept: int = defaults.EVENTS_KEPT,
+        kept: int = defaults.MAX_RETAINED_EVENTS,
     ) -> None:
         self.process = process
         self.clock = clock or Clock()
--- a/magnoliacove/wire/connection.py
+++ b/magnoliacove/wire/connection.py
@@ -26,7 +26,7 @@
 _READ_SIZE = 65536
 _CHECK_STEP = 0.01
 _IDLE_CHECK = 1.0
-_ANSWER_TIMEOUT = defaults.SILENCE_TIMEOUT - defaults.PING_AFTER
+_ANSWER_TIMEOUT = defaults.SILENCE_TIMEOUT - defaults.MIN_HEARTBEAT_INTERVAL
 _LOSSES = (
     errors.PeerError,
     errors.ProtocolError,
@@ -51,7 +51,9 @@
         clock: Clock,
         hello: Callable[[], messages.Hello],
         *,
-        read_pace: Callable[[bool], float] = lambda _: defaults.PING_AFTER,
+        read_pace: Callable[[bool], float] = lambda _: (
+            defaults.MIN_HEARTBEAT_INTERVAL
+        ),
         make_pong: Callable[[int], messages.Pong] | None = None,
     ) -> None:
         self.remote: messages.Hello | None = None
@@ -276,8 +278,11 @@
         waits for it, and is watched closely.  The many that are idle at a
         large fleet would use up the budget for control at that pace.
         """
-        active = trio.current_time() - self._posted < defaults.ACTIVE_FOR
-        return max(defaults.PING_AFTER, self._choose_pace(active))
+        active = (
+            trio.current_time() - self._posted
+            < defaults.CONNECTION_ACTIVE_WINDOW
+        )
+        return max(defaults.MIN_HEARTBEAT_INTERVAL, self._choose_pace(active))
 
     async def check(self, timeout: float) -> bool:
         """Send a heartbeat now; return whether anything comes back.
--- a/magnoliacove/wire/peer.py
+++ b/magnoliacove/wire/peer.py
@@ -46,7 +46,9 @@
         *,
         came_up: Callable[["Peer"], None] = _do_nothing,
         went_down: Callable[["Peer", str], None] = _do_nothing,
-        read_pace: Callable[[bool], float] = lambda _: defaults.PING_AFTER,
+        read_pace: Callable[[bool], float] = lambda _: (
+            defaults.MIN_HEARTBEAT_INTERVAL
+        ),
     ) -> None:
         self.name = name
         self.address = address
@@ -87,18 +89,18 @@
 
     async def run(self) -> None:
         """Keep a connection open until :meth:`stop`."""
-        delay = defaults.RECONNECT_FIRST
+        delay = defaults.INITIAL_RECONNECT_DELAY
         with self._scope:
             while True:
                 reason = await self._connect_once()
                 if self.failures == 0:
-                    delay = defaults.RECONNECT_FIRST
+                    delay = defaults.INITIAL_RECONNECT_DELAY
                 self.failures += 1
                 self._went_down(self, reason)
                 # Jitter keeps hundreds of processes from dialling a
                 # restarted instance at the same moment.
                 await trio.sleep(delay * random.uniform(0.5, 1.0))
-                delay = min(delay * 2, defaults.RECONNECT_MOST)
+                delay = min(delay * 2, defaults.MAX_RECONNECT_DELAY)
 
     async def _connect_once(self) -> str:
         try:
@@ -148,7 +150,7 @@
         recorder.clock,
         hello,
         # The dialling end sends heartbeats well before this.
-        read_pace=lambda _: defaults.ACCEPTED_PACE,
+        read_pace=lambda _: defaults.ACCEPTED_HEARTBEAT_INTERVAL,
         make_pong=make_pong,
     )
     try:
--- a/tests/entry/test_distribution.py
+++ b/tests/entry/test_distribution.py
@@ -91,7 +91,7 @@
         version = await _change(fleet, 2.0)
         await trio.sleep(2)
         assert set(_list_versions(fleet).values()) == {version}
-    assert text == fakes.expect("lot", 9)
+    assert text == fakes.compute_expected_text("lot", 9)
 
 
 async def test_start_during_an_outage(autojump_clock):
@@ -114,7 +114,7 @@
         text = await fakes.stream(fleet, "lot", 9)
         other = await fakes.stream(fleet, "lot", 9, entry="entry-9")
     assert set(versions.values()) == {1}
-    assert text == other == fakes.expect("lot", 9)
+    assert text == other == fakes.compute_expected_text("lot", 9)
 
 
 async def test_compacted_and_dropped_watches(autojump_clock):
@@ -144,5 +144,5 @@
         text = await fakes.stream(fleet, "lot", 9)
         runs = fleet.engines["llm-0-0"].steps_run
     assert usable == [False, False]
-    assert text == fakes.expect("lot", 9)
+    assert text == fakes.compute_expected_text("lot", 9)
     assert not runs
--- a/tests/entry/test_keys.py
+++ b/tests/entry/test_keys.py
@@ -251,7 +251,9 @@
             await _draft(fleet, key)
         again = await _draft(fleet, key, "entry-1")
         steps = sum(len(e.steps_run) for e in fleet.engines.values())
-    assert again.json["choices"][0]["text"] == fakes.expect("lot", 9)
+    assert again.json["choices"][0]["text"] == fakes.compute_expected_text(
+        "lot", 9
+    )
     assert steps == 2 * 9
 
 
--- a/tests/entry/test_path.py
+++ b/tests/entry/test_path.py
@@ -14,7 +14,7 @@
         caller = fleets.Caller(fleet.entries["entry-0"].made.callers_url)
         text = await caller.complete("lot 1", 12)
         used = {name for name, e in fleet.engines.items() if e.steps_run}
-    assert text == fakes.expect("lot 1", 12)
+    assert text == fakes.compute_expected_text("lot 1", 12)
     assert len(used) == 2
 
 
@@ -26,7 +26,7 @@
             text += token
             count += 1
             if count == 7:
-                lost = fakes.find_used(fleet, first_layer)
+                lost = fakes.find_stage_target(fleet, first_layer)
                 fleet.kill(fleet.agents[lost])
         survivors = {
             name: [run[1] for run in model.steps_run]
@@ -45,7 +45,7 @@
     """
     for first_layer in (0, 3, 5):
         text, survivors = await _stream_with_kill(first_layer)
-        assert text == fakes.expect("lot 2", 20)
+        assert text == fakes.compute_expected_text("lot 2", 20)
         for steps in survivors.values():
             assert steps == sorted(set(steps))
 
@@ -87,9 +87,11 @@
         whole, streamed, usage, code, denied = await trio.to_thread.run_sync(
             call
         )
-    assert whole.choices[0].message.content == fakes.expect("user: lot 3", 5)
+    assert whole.choices[0].message.content == fakes.compute_expected_text(
+        "user: lot 3", 5
+    )
     assert whole.choices[0].finish_reason == "length"
-    assert streamed == fakes.expect("user: lot 3", 5)
+    assert streamed == fakes.compute_expected_text("user: lot 3", 5)
     assert usage.completion_tokens == 5
     assert (code, denied) == ("model_not_found", "invalid_api_key")
 
--- a/tests/entry/test_pipelines.py
+++ b/tests/entry/test_pipelines.py
@@ -27,7 +27,7 @@
         await _make_pipeline(fleet)
         answer = await fakes.ask(fleet, "POST", "/pipelines/describe", b"lot")
     assert answer.status == 200
-    assert answer.json["body"] == fakes.expect("lot", 256)
+    assert answer.json["body"] == fakes.compute_expected_text("lot", 256)
 
 
 async def test_pipeline_gives_no_access_to_a_service(autojump_clock):
--- a/tests/entry/test_streams.py
+++ b/tests/entry/test_streams.py
@@ -37,44 +37,50 @@
 
 
 def _check_answer(text, runs):
-    assert text == fakes.expect("lot", _TOKENS)
+    assert text == fakes.compute_expected_text("lot", _TOKENS)
     for steps in runs.values():
         assert len(steps) == len(set(steps))
 
 
 async def _kill_agent(first_layer, fleet):
-    fleet.kill(fleet.agents[fakes.find_used(fleet, first_layer)])
+    fleet.kill(fleet.agents[fakes.find_stage_target(fleet, first_layer)])
 
 
 async def _isolate_agent(first_layer, fleet):
-    fleet.links.isolate(fakes.find_used(fleet, first_layer))
+    fleet.links.isolate(fakes.find_stage_target(fleet, first_layer))
 
 
 async def _fail_engine(first_layer, fleet):
-    fleet.engines[fakes.find_used(fleet, first_layer)].faults.failing = True
+    fleet.engines[
+        fakes.find_stage_target(fleet, first_layer)
+    ].faults.failing = True
 
 
 async def _freeze_engine(first_layer, fleet):
-    fleet.engines[fakes.find_used(fleet, first_layer)].faults.frozen = True
+    fleet.engines[
+        fakes.find_stage_target(fleet, first_layer)
+    ].faults.frozen = True
 
 
 async def _cut_from_entry(first_layer, fleet):
-    await fleet.links.cut("entry-0", fakes.find_used(fleet, first_layer))
+    await fleet.links.cut(
+        "entry-0", fakes.find_stage_target(fleet, first_layer)
+    )
 
 
 async def _silence_from_entry(first_layer, fleet):
-    used = fakes.find_used(fleet, first_layer)
+    used = fakes.find_stage_target(fleet, first_layer)
     fleet.links.silence_open("entry-0", used)
 
 
 async def _cut_between(first_layer, fleet):
-    one = fakes.find_used(fleet, 0)
-    await fleet.links.cut(one, fakes.find_used(fleet, 3))
+    one = fakes.find_stage_target(fleet, 0)
+    await fleet.links.cut(one, fakes.find_stage_target(fleet, 3))
 
 
 async def _silence_between(first_layer, fleet):
-    one = fakes.find_used(fleet, 0)
-    fleet.links.silence(one, fakes.find_used(fleet, 3))
+    one = fakes.find_stage_target(fleet, 0)
+    fleet.links.silence(one, fakes.find_stage_target(fleet, 3))
 
 
 _FAULTS = [
@@ -167,7 +173,7 @@
 
             async def on_token(count):
                 if count == 7:
-                    lost = fakes.find_used(fleet, 3)
+                    lost = fakes.find_stage_target(fleet, 3)
                     fleet.kill(fleet.agents[lost])
                     nursery.start_soon(start_again, lost)
 
@@ -193,7 +199,7 @@
 
             async def on_token(count):
                 if count == 7:
-                    leaving = fleet.agents[fakes.find_used(fleet, 3)]
+                    leaving = fleet.agents[fakes.find_stage_target(fleet, 3)]
                     nursery.start_soon(leaving.made.drain)
 
             text = await fakes.stream(fleet, "lot", tokens, on_token)
@@ -202,7 +208,7 @@
         drained = fleet.list_events("drained")
         imported = fleet.list_events("cache-imported")
     assert not cancelled
-    assert text == fakes.expect("lot", tokens)
+    assert text == fakes.compute_expected_text("lot", tokens)
     assert len(steps) == 3 * tokens
     assert len(imported) == 1
     assert drained[0].detail["left"] == 0
@@ -303,4 +309,4 @@
 
     clock = trio.testing.MockClock(autojump_threshold=0)
     text = trio.run(main, clock=clock)
-    assert text == fakes.expect("lot", _TOKENS)
+    assert text == fakes.compute_expected_text("lot", _TOKENS)
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -36,14 +36,14 @@
         return json.loads(str(why))
 
 
-def expect(prompt, tokens, layers=8):
+def compute_expected_text(prompt, tokens, layers=8):
     """Return the text of an undisturbed model."""
     return b"".join(
         engine.compute_tokens(prompt.encode(), layers, tokens)
     ).decode()
 
 
-def find_used(fleet, first_layer):
+def find_stage_target(fleet, first_layer):
     """Return the target that runs the stage from a layer on."""
     return next(
         name
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -5,7 +5,7 @@
 from magnoliacove import metrics
 
 
-@pytest.mark.parametrize("updates", [3, metrics._MOST_EARLY + 3])
+@pytest.mark.parametrize("updates", [3, metrics._MAX_PENDING_UPDATES + 3])
 def test_nothing_is_lost_before_the_first_reading(updates):
     """The library of metrics is loaded with the first reading, seconds after
     the start.  What callers were answered until then counts all the same.
--- a/tests/timeline/test_timeline.py
+++ b/tests/timeline/test_timeline.py
@@ -58,7 +58,7 @@
 
         async def on_token(count):
             if count == 5:
-                lost = fakes.find_used(fleet, 0)
+                lost = fakes.find_stage_target(fleet, 0)
                 fleet.kill(fleet.agents[lost])
 
         await fakes.stream(fleet, "lot", 20, on_token)
