--- a/magnoliacove/defaults.py
+++ b/magnoliacove/defaults.py
@@ -1,19 +1,20 @@
-"""The default of every setting and bound, in one place.
+"""Default values of all settings and limits.
 
-Times are seconds and sizes are bytes unless a name says otherwise.
+Times are in seconds and sizes in bytes unless the name states otherwise.
 """
 
-# Connections between our processes.
+# Connections between magnoliacove processes.
 PROTOCOL_VERSION = 1
 MAX_FRAME = 4 * 1024 * 1024
 MAX_QUEUED_FRAMES = 4096
 CONNECT_TIMEOUT = 1.0
 MIN_HEARTBEAT_INTERVAL = 0.7
 SILENCE_TIMEOUT = 2.0
+# A connection counts as active for this long after a message is sent on it.
 CONNECTION_ACTIVE_WINDOW = 5.0
-# What a heartbeat and its answer take with the headers of TCP and IP, and
-# what all of a process's heartbeats may take in a second.
+# Size of a heartbeat and its answer, including TCP and IP headers.
 HEARTBEAT_BYTES = 290
+# Bytes per second that all heartbeats of a process may use.
 CONTROL_BUDGET = 6000
 ACCEPTED_HEARTBEAT_INTERVAL = 30.0
 FEED_HEARTBEAT_INTERVAL = 4.0
@@ -49,7 +50,7 @@
 DRAIN_TIMEOUT = 120.0
 DRAIN_MOVE_AFTER = 2.0
 
-# Configuration and directory.
+# Configuration and service directory.
 CHECKPOINT_EVERY = 64
 LEASE_DURATION = 4.0
 INITIAL_STORE_RETRY_DELAY = 0.2
@@ -57,5 +58,5 @@
 STORE_TIMEOUT = 2.0
 WATCH_TIMEOUT = 30.0
 
-# Time line.
+# Event time line.
 MAX_RETAINED_EVENTS = 4000
--- a/magnoliacove/errors.py
+++ b/magnoliacove/errors.py
@@ -1,8 +1,8 @@
-"""The error types that users and callers meet.
+"""Error types reported to users and callers.
 
-Every message says what is wrong and what to do about it.  Three outcomes
-of a request are told apart everywhere, since only what surely did not run
-may be tried again.
+Every message states what is wrong and how to fix it.  All modules
+distinguish three outcomes of a request, because only a request that
+certainly did not run may be retried.
 """
 
 import enum
@@ -22,7 +22,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """What is known about a request's effect on its target."""
+    """Whether a request took effect on its target, as far as is known."""
 
     RAN = "ran"
     NOT_RUN = "not_run"
@@ -30,35 +30,35 @@
 
 
 class Error(Exception):
-    """The base of every error of this project."""
+    """Base class of all errors of this project."""
 
 
 class UserError(Error):
-    """A mistake that the person at the command line can mend."""
+    """A mistake that the command-line user can correct."""
 
 
 class NotFoundError(UserError):
-    """An object with that name does not exist."""
+    """No object has the requested name."""
 
 
 class ConflictError(UserError):
-    """Somebody else changed the object since it was read."""
+    """Another writer changed the object after it was read."""
 
 
 class ProtocolError(Error):
-    """A peer sent something that the protocol does not allow."""
+    """A peer sent data that violates the protocol."""
 
 
 class PeerError(Error):
-    """A peer cannot be reached or stopped answering."""
+    """A peer is unreachable or stopped responding."""
 
 
 class StaleOrderError(Error):
-    """An order carried a fencing number older than one already seen."""
+    """An order carried a fencing token older than one already seen."""
 
 
 class PlatformError(Error):
-    """The platform's object API did not answer as asked.
+    """A call to the platform's object API failed.
 
     :param outcome: whether a write may have taken effect.
     """
@@ -69,14 +69,14 @@
 
 
 class RequestError(Error):
-    """A caller's request ends without its answer.
+    """A caller's request failed.
 
-    :param code: a short, stable word for programs, for example
+    :param code: a short, stable, machine-readable code, for example
         ``overloaded``.
     :param status: the HTTP status code for the caller.
     :param outcome: whether the request ran.
-    :param retry_after: seconds until another try makes sense, or None
-        when another try is of no use.
+    :param retry_after: seconds to wait before a retry, or None when a
+        retry is useless.
     """
 
     def __init__(
--- a/magnoliacove/flags.py
+++ b/magnoliacove/flags.py
@@ -1,11 +1,11 @@
-"""What the flags of all programs have in common."""
+"""Command-line flags common to all programs."""
 
 import click
 
 __all__ = ["PREFIX", "log_level_option"]
 
-# Each flag can be set by a variable: ``--data-centre`` by
-# ``MAGNOLIACOVE_DATA_CENTRE``.
+# Prefix of the environment variables that set flags, for example
+# ``MAGNOLIACOVE_DATA_CENTRE`` for ``--data-centre``.
 PREFIX = "MAGNOLIACOVE"
 log_level_option = click.option(
     "--log-level",
@@ -13,5 +13,5 @@
     default="INFO",
     show_default=True,
     show_envvar=True,
-    help="The lowest level that is logged.",
+    help="Lowest level that is logged.",
 )
--- a/magnoliacove/settings.py
+++ b/magnoliacove/settings.py
@@ -1,7 +1,8 @@
-"""Settings that the programs share: flags, variables and their checks.
+"""Command-line settings shared by the programs, and their validation.
 
-Each flag can be set by a variable: ``--data-centre`` by
-``MAGNOLIACOVE_DATA_CENTRE``.  The flag goes first.
+An environment variable can set each flag, for example
+``MAGNOLIACOVE_DATA_CENTRE`` for ``--data-centre``.  The flag takes
+precedence.
 """
 
 from collections.abc import Callable
@@ -32,37 +33,37 @@
 
 
 class AddressType(click.ParamType):
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     name = "address"
 
     def convert(self, value: Any, param: Any, ctx: Any) -> wire.Address:
-        """Return the address, or fail naming the flag and the variable."""
+        """Return the address, or fail with the flag and the variable."""
         if isinstance(value, wire.Address):
             return value
         try:
             return wire.Address.parse(value)
-        except errors.UserError as why:
-            self.fail(str(why), param, ctx)
+        except errors.UserError as exc:
+            self.fail(str(exc), param, ctx)
 
 
 _ADDRESS = AddressType()
 
 
 def process_options(command: Callable[..., Any]) -> Callable[..., Any]:
-    """Add the options that every long-running program has."""
+    """Add the options common to all long-running programs."""
     options = [
         click.option(
             "--name",
             required=True,
             show_envvar=True,
-            help="This process's name; an agent has its target's name.",
+            help="Name of this process; an agent uses its target's name.",
         ),
         click.option(
             "--data-centre",
             required=True,
             show_envvar=True,
-            help="The data centre that this instance is in.",
+            help="Data centre of this instance.",
         ),
         click.option(
             "--listen",
@@ -70,19 +71,19 @@
             default="127.0.0.1:0",
             show_default=True,
             show_envvar=True,
-            help="Where other magnoliacove processes connect.",
+            help="Address on which other magnoliacove processes connect.",
         ),
         click.option(
             "--advertise",
             type=_ADDRESS,
             show_envvar=True,
-            help="The address that others dial, when it differs.",
+            help="Address that other processes dial, if it differs.",
         ),
         click.option(
             "--object-api",
             required=True,
             show_envvar=True,
-            help="The platform's object API, as http://10.0.0.2:8500.",
+            help="URL of the platform's object API, as http://10.0.0.2:8500.",
         ),
         click.option(
             "--seed",
@@ -90,13 +91,13 @@
             multiple=True,
             type=_ADDRESS,
             show_envvar=True,
-            help="A peer to ask while the object API is down.",
+            help="Peer to query while the object API is unavailable.",
         ),
         click.option(
             "--metrics",
             type=_ADDRESS,
             show_envvar=True,
-            help="Where /metrics, /healthz and /readyz are served.",
+            help="Address that serves /metrics, /healthz and /readyz.",
         ),
         log_level_option,
     ]
@@ -104,7 +105,7 @@
 
 
 def tls_options(command: Callable[..., Any]) -> Callable[..., Any]:
-    """Add the options for TLS between our processes."""
+    """Add the options for TLS between magnoliacove processes."""
     options = [
         click.option(
             f"--tls-{part}",
@@ -113,9 +114,9 @@
             help=text,
         )
         for part, text in (
-            ("certificate", "This process's certificate, as a PEM file."),
-            ("key", "The certificate's key, as a PEM file."),
-            ("authority", "The authority that vouches for all processes."),
+            ("certificate", "PEM file with the certificate of this process."),
+            ("key", "PEM file with the private key of the certificate."),
+            ("authority", "PEM file with the CA of all certificates."),
         )
     ]
     return _add(command, options)
@@ -124,18 +125,23 @@
 def _add(
     command: Callable[..., Any], options: list[Callable[..., Any]]
 ) -> Callable[..., Any]:
-    return functools.reduce(lambda c, o: o(c), reversed(options), command)
+    return functools.reduce(
+        lambda decorated, option: option(decorated),
+        reversed(options),
+        command,
+    )
 
 
 def make_network(
     certificate: str | None, key: str | None, authority: str | None
 ) -> wire.Network:
-    """Return how this process reaches others.
+    """Return the network through which this process connects to others.
 
-    :raises magnoliacove.errors.UserError: when the files do not fit.
+    :raises magnoliacove.errors.UserError: when only some of the files are
+        set, or the files cannot be used.
     """
-    given = (certificate, key, authority)
-    if not any(given):
+    files = (certificate, key, authority)
+    if not any(files):
         return wire.Network()
     if certificate is None or key is None or authority is None:
         raise errors.UserError(
@@ -147,10 +153,10 @@
 
 
 def read_identity(options: Mapping[str, Any], role: str) -> Identity:
-    """Return who the process is, from checked options.
+    """Return the identity of the process from validated options.
 
-    :raises magnoliacove.errors.UserError: when it would listen in the open
-        without TLS.
+    :raises magnoliacove.errors.UserError: when the process would listen
+        on an address other than loopback without TLS.
     """
     secure = options["tls_certificate"] is not None
     for name in ("listen", "callers", "operators", "metrics"):
@@ -165,7 +171,7 @@
 
 
 def read_network(options: Mapping[str, Any]) -> wire.Network:
-    """Return how the process reaches others, from checked options."""
+    """Return the network of the process from validated options."""
     return make_network(
         options["tls_certificate"],
         options["tls_key"],
@@ -176,15 +182,15 @@
 def require_loopback(
     flag: str, address: wire.Address | None, secure: bool
 ) -> None:
-    """Refuse to listen in the open without TLS.
+    """Reject an address other than loopback when TLS is off.
 
-    :raises magnoliacove.errors.UserError: naming the flag.
+    :raises magnoliacove.errors.UserError: with the flag in its message.
     """
     if address is None or secure or address.loopback:
         return
     variable = f"{PREFIX}_{flag.strip('-').replace('-', '_').upper()}"
     raise errors.UserError(
-        f"{flag} ({variable}) is {address}, which others can reach, but "
+        f"{flag} ({variable}) is {address}, which other hosts can reach, but "
         "there is no TLS; set --tls-certificate, --tls-key and "
         "--tls-authority, or listen on 127.0.0.1"
     )
@@ -193,13 +199,13 @@
 def bind(flag: str, address: wire.Address) -> socket.socket:
     """Return a listening socket.
 
-    :raises magnoliacove.errors.UserError: naming the flag.
+    :raises magnoliacove.errors.UserError: with the flag in its message.
     """
     try:
         return sockets.bind_socket(address.host, address.port)
-    except OSError as why:
+    except OSError as exc:
         variable = f"{PREFIX}_{flag.strip('-').replace('-', '_').upper()}"
         raise errors.UserError(
-            f"{flag} ({variable}) {address} cannot be used: {why.strerror}; "
+            f"{flag} ({variable}) {address} cannot be used: {exc.strerror}; "
             "choose another address or port"
-        ) from why
+        ) from exc
