--- a/magnoliacove/metrics.py
+++ b/magnoliacove/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics, liveness and readiness of one process, over HTTP."""
+"""Metrics, liveness and readiness of a process, served over HTTP."""
 
 from collections.abc import Callable
 from collections.abc import Mapping
@@ -18,19 +18,21 @@
 
 __all__ = ["Meters", "serve_meters"]
 
+# Upper bounds of the histogram buckets, in seconds.
 _BUCKETS = (0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0)
-# Updates that are kept until the library is loaded: it is then, if nobody
-# asked for metrics before.
+# Updates that are buffered until the metrics library is loaded.  At this
+# number the library is loaded even if no metrics were requested.
 _MAX_PENDING_UPDATES = 2_000
 
 
 class Meters:
     """The metrics of one process.
 
-    Their library is loaded with the first reading of them, as callers wait
-    while a process loads its modules.
+    The metrics library is loaded on the first request for metrics, not at
+    start-up, because callers wait while a process loads its modules.
 
-    :param read_gauges: returns gauge names and values when asked.
+    :param read_gauges: returns the current gauge values by name.
+    :param is_ready: returns whether the process is ready.
     """
 
     def __init__(
@@ -40,16 +42,20 @@
     ) -> None:
         self.is_ready = is_ready
         self._registry: aioprometheus.Registry | None = None
-        self._early: list[Callable[[], None]] = []
+        self._pending: list[Callable[[], None]] = []
         self._read_gauges = read_gauges
         self._gauges: dict[str, aioprometheus.Gauge] = {}
         self._counters: dict[str, aioprometheus.Counter] = {}
         self._histograms: dict[str, aioprometheus.Histogram] = {}
 
     def count(self, name: str, by: int = 1, **labels: str) -> None:
-        """Add to a counter whose name ends in ``_total``."""
+        """Add to a counter.
+
+        :param name: the counter's name, ending in ``_total``.
+        :param by: the increment.
+        """
         if self._registry is None:
-            self._keep(functools.partial(self.count, name, by, **labels))
+            self._defer(functools.partial(self.count, name, by, **labels))
             return
         counter = self._counters.get(name)
         if counter is None:
@@ -64,9 +70,12 @@
         counter.add(labels, by)
 
     def observe(self, name: str, seconds: float, **labels: str) -> None:
-        """Add to a histogram whose name ends in ``_seconds``."""
+        """Add an observation to a histogram.
+
+        :param name: the histogram's name, ending in ``_seconds``.
+        """
         if self._registry is None:
-            self._keep(
+            self._defer(
                 functools.partial(self.observe, name, seconds, **labels)
             )
             return
@@ -84,7 +93,7 @@
         histogram.observe(labels, seconds)
 
     def render(self) -> bytes:
-        """Return all metrics in the text format."""
+        """Return all metrics in the Prometheus text format."""
         import aioprometheus
         from aioprometheus import renderer
 
@@ -107,10 +116,10 @@
             gauge.set({}, value)
         return renderer.render(registry, [])[0]
 
-    def _keep(self, update: Callable[[], None]) -> None:
-        """Keep an update until the library is loaded."""
-        self._early.append(update)
-        if len(self._early) >= _MAX_PENDING_UPDATES:
+    def _defer(self, update: Callable[[], None]) -> None:
+        """Buffer an update until the metrics library is loaded."""
+        self._pending.append(update)
+        if len(self._pending) >= _MAX_PENDING_UPDATES:
             self._load()
 
     def _load(self) -> "aioprometheus.Registry":
@@ -118,8 +127,8 @@
             import aioprometheus
 
             self._registry = aioprometheus.Registry()
-            early, self._early = self._early, []
-            for update in early:
+            pending, self._pending = self._pending, []
+            for update in pending:
                 update()
         return self._registry
 
--- a/magnoliacove/process.py
+++ b/magnoliacove/process.py
@@ -1,4 +1,7 @@
-"""What every process of ours has: a name, a clock, a view, a listener."""
+"""Parts common to entry and agent processes.
+
+These are an identity, a clock, a directory view and a listener.
+"""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -19,15 +22,16 @@
 
 __all__ = ["Identity", "Process"]
 
-_EVENTS_IN_FRAME = 200
+# Events sent in one frame in answer to a query.
+_EVENTS_PER_FRAME = 200
 
 
 @dataclass(frozen=True)
 class Identity:
-    """Who a process is.
+    """Identity and addresses of a process.
 
-    :param listen: where it listens for other processes of ours.
-    :param advertise: the address that others dial, when it differs.
+    :param listen: the address on which other processes connect.
+    :param advertise: the address that other processes dial, if it differs.
     """
 
     name: str
@@ -38,7 +42,7 @@
 
 
 class Process:
-    """The parts that entries and agents share."""
+    """State and connections of an entry or an agent."""
 
     def __init__(
         self,
@@ -61,7 +65,7 @@
         self._connections: set[wire.Connection] = set()
 
     def make_hello(self) -> messages.Hello:
-        """Return what this process says first on a connection."""
+        """Return the first message that this process sends on a connection."""
         return messages.Hello(
             defaults.PROTOCOL_VERSION,
             self.identity.name,
@@ -73,7 +77,10 @@
         )
 
     def describe(self, state: str = "live") -> directory.Instance:
-        """Return this process's next announcement."""
+        """Return the next directory record of this process.
+
+        Each call increments the revision.
+        """
         self._revision += 1
         return directory.Instance(
             self.identity.name,
@@ -89,14 +96,20 @@
         self,
         handle: Handler,
         make_pong: Callable[[int], messages.Pong],
-        gone: Callable[[wire.Connection, str], None],
-        ready: Callable[[wire.Connection], None],
+        on_disconnect: Callable[[wire.Connection, str], None],
+        on_connect: Callable[[wire.Connection], None],
         *,
         task_status: trio.TaskStatus[wire.Address],
     ) -> None:
-        """Serve the connections that other processes open."""
+        """Serve the connections that other processes open.
+
+        :param handle: called with each message that this class does not
+            handle.
+        :param on_disconnect: called with the reason when a connection ends.
+        :param on_connect: called after the handshake of a connection.
+        """
 
-        async def take(
+        async def handle_message(
             connection: wire.Connection, message: messages.Message
         ) -> None:
             self._connections.add(connection)
@@ -107,20 +120,20 @@
                 return
             await handle(connection, message)
 
-        def drop(connection: wire.Connection, reason: str) -> None:
+        def remove(connection: wire.Connection, reason: str) -> None:
             self._connections.discard(connection)
             self.feed.drop(connection)
-            gone(connection, reason)
+            on_disconnect(connection, reason)
 
         async def serve(stream: trio.abc.Stream) -> None:
             await wire.serve_connection(
                 stream,
                 self.recorder,
                 self.make_hello,
-                take,
+                handle_message,
                 make_pong,
-                drop,
-                ready,
+                remove,
+                on_connect,
             )
 
         async with trio.open_nursery() as nursery:
@@ -128,7 +141,7 @@
                 self.network.listen, self.identity.listen, serve
             )
             if self.identity.advertise is None:
-                # The port may have been left to the system to choose.
+                # With port 0 the operating system chooses the port.
                 self.address = address
             task_status.started(address)
 
@@ -139,27 +152,29 @@
         mutual: bool = False,
         watch: Callable[[wire.Connection], Awaitable[None]] | None = None,
     ) -> bool:
-        """Stay subscribed to a peer; return whether it ever answered.
+        """Subscribe to a peer until the connection ends.
 
-        :param mutual: whether news goes up the connection as well.
-        :param watch: runs beside the connection and may close it.
+        :param mutual: whether this process also sends its updates to the
+            peer.
+        :param watch: runs alongside the connection and may close it.
+        :returns: whether the handshake with the peer succeeded.
         """
-        began = False
+        connected = False
         connection: wire.Connection | None = None
 
-        async def take(
+        async def handle_message(
             source: wire.Connection, message: messages.Message
         ) -> None:
             self.feed.handle(source, message)
 
-        def begin(ready: wire.Connection) -> None:
-            nonlocal began
-            began = True
-            self.recorder.record("feed-open", target=ready.name)
+        def send_subscribe(opened: wire.Connection) -> None:
+            nonlocal connected
+            connected = True
+            self.recorder.record("feed-open", target=opened.name)
             own = self.identity.name
-            ready.post(directory.make_subscribe(self.view, own))
+            opened.post(directory.make_subscribe(self.view, own))
             if mutual:
-                self.feed.attach(ready)
+                self.feed.attach(opened)
 
         try:
             stream = await self.network.connect(address)
@@ -173,7 +188,7 @@
                 if watch is not None:
                     nursery.start_soon(watch, connection)
                 try:
-                    await connection.run(take, begin)
+                    await connection.run(handle_message, send_subscribe)
                 finally:
                     nursery.cancel_scope.cancel()
         except* errors.Error as group:
@@ -185,10 +200,10 @@
         finally:
             if connection is not None:
                 self.feed.drop(connection)
-        return began
+        return connected
 
     def broadcast(self, message: messages.Message) -> None:
-        """Send a message to everybody who has dialled this process."""
+        """Send a message on all connections that peers have opened."""
         for connection in tuple(self._connections):
             try:
                 connection.post(message)
@@ -198,15 +213,15 @@
     async def _send_events(
         self, connection: wire.Connection, query: messages.EventsQuery
     ) -> None:
-        found = self.recorder.list_events(
+        recorded = self.recorder.list_events(
             request=query.request, target=query.target
         )
-        lines = [event.to_json() for event in found]
+        lines = [event.to_json() for event in recorded]
         channel = self.recorder.follow()
         try:
-            for at in range(0, len(lines), _EVENTS_IN_FRAME):
-                part = tuple(lines[at : at + _EVENTS_IN_FRAME])
-                await connection.send(messages.Events(part))
+            for start in range(0, len(lines), _EVENTS_PER_FRAME):
+                batch = tuple(lines[start : start + _EVENTS_PER_FRAME])
+                await connection.send(messages.Events(batch))
             if not query.follow:
                 await connection.send(messages.Events(()))
                 return
--- a/magnoliacove/sockets.py
+++ b/magnoliacove/sockets.py
@@ -1,18 +1,24 @@
-"""Listening sockets, without anything that takes long to load."""
+"""Listening sockets.
+
+This module imports nothing that is slow to load.
+"""
 
 import socket
 
 __all__ = ["bind_socket"]
 
-# Connections that wait to be taken.  Those of a gateway that still loads
-# its modules wait here for up to half a second.
+# Connections that the kernel queues until they are accepted.  While a
+# gateway loads its modules, they wait there for up to half a second.
 _BACKLOG = 512
 
 
 def bind_socket(host: str, port: int) -> socket.socket:
-    """Return a listening socket, so that port 0 can be asked for.
+    """Return a non-blocking listening socket.
+
+    With port 0 the operating system chooses the port, which the caller
+    reads from the socket.
 
-    :raises OSError: when the address cannot be listened on.
+    :raises OSError: when the address cannot be bound.
     """
     listener = socket.socket(
         socket.AF_INET6 if ":" in host else socket.AF_INET
--- a/magnoliacove/web.py
+++ b/magnoliacove/web.py
@@ -1,4 +1,4 @@
-"""Small HTTP servers: one function behind hypercorn."""
+"""Small HTTP servers that pass each request to one function."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class Request:
-    """One HTTP request, read whole."""
+    """An HTTP request with its complete body."""
 
     method: str
     path: str
@@ -41,7 +41,10 @@
 
 @dataclass(frozen=True)
 class Response:
-    """One HTTP response with a JSON or a plain body."""
+    """An HTTP response.
+
+    :param body: bytes, or a value that is encoded as JSON.
+    """
 
     status: int
     body: Any
@@ -49,7 +52,7 @@
 
 
 async def read_body(receive: Any) -> bytes:
-    """Return the whole body of a request."""
+    """Return the complete body of a request."""
     body = b""
     while True:
         message = await receive()
@@ -61,7 +64,7 @@
 
 
 def make_app(answer: Callable[[Request], Awaitable[Response]]) -> App:
-    """Return an ASGI application around one function."""
+    """Return an ASGI application that answers requests with a function."""
 
     async def app(scope: Any, receive: Any, send: Any) -> None:
         if scope["type"] == "lifespan":
@@ -92,7 +95,7 @@
 
 
 async def serve_lifespan(receive: Any, send: Any) -> None:
-    """Answer the server's start and stop messages."""
+    """Acknowledge the server's lifespan messages."""
     while True:
         message = await receive()
         await send({"type": f"{message['type']}.complete"})
@@ -102,7 +105,7 @@
 
 @dataclass(frozen=True)
 class ServerTls:
-    """The paths of a server's certificate and key."""
+    """File paths of a server's certificate and private key."""
 
     certificate: str
     key: str
@@ -116,13 +119,16 @@
     keep_alive: float = defaults.KEEP_ALIVE,
     task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve an application until cancelled; start with its URL.
+    """Serve an application until cancelled.
+
+    The task status reports the URL of the server.
 
-    :param keep_alive: seconds that an idle connection is kept.  The server
-        also remembers a closed connection, 16 KB of it, for that long.
+    :param keep_alive: seconds that an idle connection stays open.  The
+        server also keeps 16 KB for each closed connection for that long.
     """
-    # Importing the server takes a fifth of a gateway's start, in which no
-    # caller is answered; what needs it there is metrics only.
+    # Importing hypercorn takes a fifth of a gateway's start-up time, during
+    # which the gateway answers no caller.  A gateway needs it for metrics
+    # only, so it is imported here, in a thread.
     hypercorn = await trio.to_thread.run_sync(_import_server)
     host, port = listener.getsockname()[:2]
     config = hypercorn.config.Config()
