--- a/magnoliacove/__init__.py
+++ b/magnoliacove/__init__.py
@@ -1,3 +1,3 @@
-"""A router for pipelines of model and plain services."""
+"""Router for pipelines of model services and plain services."""
 
 __version__ = "0.1.0"
--- a/magnoliacove/lazy.py
+++ b/magnoliacove/lazy.py
@@ -1,7 +1,8 @@
-"""Loading no more than a start needs, since callers wait for it.
+"""Lazy imports that shorten the start-up of a gateway.
 
-A gateway uses a few modules of the packages that it shares with the other
-programs, and libraries that load more when more is installed.
+Callers wait while a gateway loads its modules.  A gateway uses only a few
+modules of the packages that it shares with the other programs, and some
+libraries import optional dependencies whenever these are installed.
 """
 
 from collections.abc import Callable
@@ -17,35 +18,36 @@
 
 
 def export_lazily(
-    package: str, homes: Mapping[str, str]
+    package: str, modules_by_name: Mapping[str, str]
 ) -> Callable[[str], object]:
-    """Return the ``__getattr__`` of a package.
+    """Return the ``__getattr__`` function of a package.
 
-    :param homes: for each exported name the module that defines it.
+    :param modules_by_name: the defining module of each exported name.
     """
-    modules = frozenset(homes.values())
+    modules = frozenset(modules_by_name.values())
 
     def load(name: str) -> object:
         if name in modules:
             return importlib.import_module(f"{package}.{name}")
-        if name not in homes:
+        if name not in modules_by_name:
             raise AttributeError(f"{package} has no attribute {name!r}")
-        home = importlib.import_module(f"{package}.{homes[name]}")
-        found = getattr(home, name)
-        # The next one finds it without asking here.
-        setattr(sys.modules[package], name, found)
-        return found
+        module = importlib.import_module(f"{package}.{modules_by_name[name]}")
+        value = getattr(module, name)
+        # Later accesses find the attribute without calling this function.
+        setattr(sys.modules[package], name, value)
+        return value
 
     return load
 
 
 @contextlib.contextmanager
 def load_without(*libraries: str) -> Iterator[None]:
-    """Load modules as if some libraries were not installed.
+    """Import modules as if some libraries were not installed.
 
-    What loads them only where it finds them goes on without; they can be
-    loaded afterwards.  The garbage collector rests meanwhile: modules stay,
-    and looking through them again and again finds nothing.
+    Modules that import these libraries optionally work without them.  The
+    libraries can be imported afterwards.  The garbage collector is disabled
+    meanwhile: modules are never freed, so scanning them repeatedly frees
+    nothing.
     """
     modules: dict[str, ModuleType | None] = sys.modules  # type: ignore[assignment]
     absent = [name for name in libraries if name not in modules]
--- a/magnoliacove/logs.py
+++ b/magnoliacove/logs.py
@@ -1,7 +1,7 @@
-"""Logs of our programs: one JSON object a line.
+"""Logs of the programs, one JSON object per line.
 
-The gateway writes to standard output, through a bounded buffer that never
-blocks: a reader that stops must not stop requests.
+The gateway writes to standard output through a bounded buffer that never
+blocks, so that a reader that stops reading does not stall requests.
 """
 
 from collections import deque
@@ -22,19 +22,22 @@
     "start_logging",
 ]
 
-# A gateway's share of calm traffic is 10 requests a second with three
-# lines each; ten times that is kept before ordinary lines are dropped.
+# Lines per second above which ordinary lines are dropped.  The share of one
+# gateway in normal traffic is 10 requests a second with three lines each;
+# the budget is ten times that.
 LINES_PER_SECOND = 300
+# Lines that may exceed the budget after a quiet period.
 BURST_LINES = 1500
-# Lines of a reader that has stopped: 8 MB at 1 KB each.
-_MOST_LINES = 8000
-_FLUSH_EVERY = 0.2
-# Writes of up to so many bytes to a pipe are taken whole or not at all, so
-# a line is never torn by what another writer adds in between.
+# Lines that are queued while the reader does not read; 8 MB at 1 KB each.
+_MAX_QUEUED_LINES = 8000
+# Seconds between writes.
+_FLUSH_INTERVAL = 0.2
+# A write of up to this many bytes to a pipe is atomic, so the output of
+# another writer cannot split a line.
 _ATOMIC_WRITE = 4096
-# Events that a budget never drops: they say why a request failed, or that
-# a belief on which many requests hang has changed.
-_ALWAYS_KEPT = frozenset(
+# Kinds of events that the budget never drops: they give the reason for a
+# failed request, or report a change of state that affects many requests.
+_UNLIMITED_KINDS = frozenset(
     [
         "request-failed",
         "request-fault",
@@ -65,14 +68,14 @@
 
 
 class JsonHandler(logbook.StreamHandler):
-    """Writes each record as one JSON object.
+    """Formats each record as one JSON object.
 
-    A record of an event carries the event's fields, so the time line can
-    be put together from collected logs as well.
+    The record of an event includes the event's fields, so that a time line
+    can also be built from collected logs.
     """
 
     def format(self, record: Any) -> str:
-        """Return the line for a record."""
+        """Return the log line of a record."""
         event = record.extra.get("event")
         data = dict(event.__dict__) if event is not None else {}
         data.update(
@@ -86,7 +89,7 @@
 
 
 def start_logging(level: str) -> None:
-    """Send this process's log to standard error.
+    """Write the log of this process to standard error.
 
     :param level: the lowest level that is written, for example ``INFO``.
     """
@@ -95,10 +98,12 @@
 
 
 class LineWriter:
-    """Writes lines to a file descriptor without ever waiting for it.
+    """Writes lines to a file descriptor without blocking.
 
-    :param budget: lines a second; beyond it ordinary lines are dropped
-        and counted, those in ``_ALWAYS_KEPT`` are not.
+    :param budget: lines per second; ordinary lines above it are dropped
+        and counted, lines that are added with ``keep`` are not.
+    :param burst: lines that may exceed the budget after a quiet period.
+    :param read_time: returns the current time in seconds.
     """
 
     def __init__(
@@ -115,16 +120,20 @@
         self._burst = burst
         self._read_time = read_time
         self._tokens = burst
-        self._filled_at: float | None = None
+        self._refilled_at: float | None = None
         self._lines: deque[bytes] = deque()
-        self._rest = b""
-        self._told = 0
+        self._buffer = b""
+        self._reported_dropped = 0
         os.set_blocking(descriptor, False)
 
     def add(self, line: str, *, keep: bool) -> None:
-        """Queue a line, unless the budget or the buffer is used up."""
+        """Queue a line, or drop and count it.
+
+        :param keep: whether the line is queued even above the budget.  A
+            full queue drops it nevertheless.
+        """
         self._refill()
-        full = len(self._lines) >= _MOST_LINES
+        full = len(self._lines) >= _MAX_QUEUED_LINES
         if full or (self._tokens < 1 and not keep):
             self.dropped += 1
             return
@@ -132,52 +141,60 @@
         self._lines.append(line.encode() + b"\n")
 
     def flush(self) -> None:
-        """Write what the reader takes now."""
-        if self.dropped > self._told and len(self._lines) < _MOST_LINES:
-            missing = {"kind": "log-dropped", "lines": self.dropped}
-            self._told = self.dropped
-            self._lines.append(json.dumps(missing).encode() + b"\n")
-        while self._rest or self._lines:
-            self._fill_rest()
+        """Write queued lines until the descriptor would block."""
+        if (
+            self.dropped > self._reported_dropped
+            and len(self._lines) < _MAX_QUEUED_LINES
+        ):
+            report = {"kind": "log-dropped", "lines": self.dropped}
+            self._reported_dropped = self.dropped
+            self._lines.append(json.dumps(report).encode() + b"\n")
+        while self._buffer or self._lines:
+            self._fill_buffer()
             try:
-                written = os.write(self._descriptor, self._rest)
+                written = os.write(self._descriptor, self._buffer)
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody reads any more; there is no other place to say so.
-                self._rest = b""
+                # The reader closed the descriptor, and there is no other
+                # place to report that.
+                self._buffer = b""
                 self._lines.clear()
                 return
-            self._rest = self._rest[written:]
+            self._buffer = self._buffer[written:]
+
+    def _fill_buffer(self) -> None:
+        """Move queued lines into the buffer for the next write.
 
-    def _fill_rest(self) -> None:
-        """Take as many whole lines as one write moves."""
+        The buffer takes complete lines up to the size of an atomic write,
+        and at least one line.
+        """
         while self._lines:
-            size = len(self._rest) + len(self._lines[0])
-            if self._rest and size > _ATOMIC_WRITE:
+            size = len(self._buffer) + len(self._lines[0])
+            if self._buffer and size > _ATOMIC_WRITE:
                 return
-            self._rest += self._lines.popleft()
+            self._buffer += self._lines.popleft()
 
     async def run(self) -> None:
         """Write queued lines until cancelled."""
         while True:
-            await trio.sleep(_FLUSH_EVERY)
+            await trio.sleep(_FLUSH_INTERVAL)
             self.flush()
 
     def _refill(self) -> None:
         try:
             now = self._read_time()
         except RuntimeError:
-            # Before and after the event loop there is no time to tell.
+            # The clock is unavailable outside the event loop.
             return
-        if self._filled_at is not None:
-            fresh = (now - self._filled_at) * self._budget
-            self._tokens = min(self._burst, self._tokens + fresh)
-        self._filled_at = now
+        if self._refilled_at is not None:
+            earned = (now - self._refilled_at) * self._budget
+            self._tokens = min(self._burst, self._tokens + earned)
+        self._refilled_at = now
 
 
 class LineHandler(logbook.Handler):
-    """Passes records as JSON lines to a writer."""
+    """Sends records as JSON lines to a writer."""
 
     def __init__(self, writer: LineWriter, level: str) -> None:
         super().__init__(level=level, bubble=False)
@@ -190,11 +207,11 @@
             data = {"kind": "log", "message": record.message}
             self._writer.add(json.dumps(data, default=str), keep=True)
             return
-        self._writer.add(event.to_json(), keep=event.kind in _ALWAYS_KEPT)
+        self._writer.add(event.to_json(), keep=event.kind in _UNLIMITED_KINDS)
 
 
 def start_line_logging(level: str) -> LineWriter:
-    """Send this process's log to standard output.
+    """Write the log of this process to standard output.
 
     :param level: the lowest level that is written, for example ``INFO``.
     """
