--- a/magnoliacove/commands/__init__.py
+++ b/magnoliacove/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The programs.  Only this layer prints."""
+"""The command-line programs.  Only this package prints."""
--- a/magnoliacove/commands/agent.py
+++ b/magnoliacove/commands/agent.py
@@ -1,4 +1,4 @@
-"""``magnoliacove-agent``: one process beside each target."""
+"""``magnoliacove-agent``: the process that runs next to each target."""
 
 from typing import Any
 
@@ -20,7 +20,7 @@
     "--target-url",
     required=True,
     show_envvar=True,
-    help="The target beside this agent, as http://127.0.0.1:9000.",
+    help="URL of this agent's target, as http://127.0.0.1:9000.",
 )
 @click.option(
     "--target-form",
@@ -30,23 +30,23 @@
     help="Whether the target is a model engine or a plain service.",
 )
 def _command(**options: Any) -> None:
-    """Stand beside one target and serve it to the system."""
+    """Connect one target to the magnoliacove system."""
     running.show_user_errors(lambda: _run(options))
 
 
 def _run(options: dict[str, Any]) -> None:
     logs.start_logging(options["log_level"])
-    made = make_agent(options)
+    process = make_agent(options)
 
     async def start(nursery: trio.Nursery) -> str:
-        address = await nursery.start(made.run)
+        address = await nursery.start(process.run)
         return f"agent {options['name']}: peers {address}"
 
-    running.run_until_stopped(start, made.drain)
+    running.run_until_stopped(start, process.drain)
 
 
 def make_agent(options: dict[str, Any]) -> agent.Agent:
-    """Put an agent together from checked settings."""
+    """Return an agent built from validated settings."""
     identity = settings.read_identity(options, "agent")
     url, model = options["target_url"], options["target_form"] == "model"
     metrics = options["metrics"]
--- a/magnoliacove/commands/demo.py
+++ b/magnoliacove/commands/demo.py
@@ -1,4 +1,4 @@
-"""``magnoliacove-demo``: a whole fleet in one process, for a first look."""
+"""``magnoliacove-demo``: a complete fleet in one process, as a demo."""
 
 import sys
 
@@ -19,13 +19,15 @@
 @click.option(
     "--kill/--no-kill",
     default=True,
-    help="Kill an agent in the middle of the answer.",
+    help="Kill an agent while it streams the answer.",
 )
 @click.option(
-    "--html", type=click.Path(dir_okay=False), help="Write a picture as well."
+    "--html",
+    type=click.Path(dir_okay=False),
+    help="Also write the time line to an HTML file.",
 )
 def _command(tokens: int, kill: bool, html: str | None) -> None:
-    """Stream one answer through an embedded fleet and explain it."""
+    """Stream one answer through an embedded fleet and explain its events."""
     logbook.NullHandler().push_application()
     running.show_user_errors(lambda: trio.run(_run, tokens, kill, html))
 
@@ -42,25 +44,30 @@
             text += token
             count += 1
             if kill and count == tokens // 2:
-                _kill_one(fleet)
+                _kill_active_agent(fleet)
         click.echo()
         expected = b"".join(
             engine.compute_tokens(_PROMPT.encode(), fleet.layers, tokens)
         )
         same = text.encode() == expected
         click.echo(
-            f"{count} tokens; the same as of an undisturbed model: {same}"
+            f"{count} tokens; identical to those of the model alone: {same}"
         )
         events = fleet.list_events()
-        name = next(e.request for e in events if e.kind == "request-arrived")
-        click.echo(render.explain_request(events, name))
+        request = next(
+            event.request
+            for event in events
+            if event.kind == "request-arrived"
+        )
+        click.echo(render.explain_request(events, request))
         if html is not None:
-            page = render.render_html(events, "A first look")
+            page = render.render_html(events, "magnoliacove demo")
             await trio.Path(html).write_text(page, encoding="utf-8")
-            click.echo(f"the picture is in {html}")
+            click.echo(f"wrote the time line to {html}")
 
 
-def _kill_one(fleet: fleets.Fleet) -> None:
+def _kill_active_agent(fleet: fleets.Fleet) -> None:
+    """Kill an agent that runs a stage of the stream."""
     for name, agent in fleet.agents.items():
         stages = agent.made.stages
         if stages is not None and stages.stages:
--- a/magnoliacove/commands/entry.py
+++ b/magnoliacove/commands/entry.py
@@ -1,4 +1,4 @@
-"""``magnoliacove-entry``: the callers' side."""
+"""``magnoliacove-entry``: serves callers and operators over HTTP."""
 
 from typing import Any
 
@@ -26,7 +26,7 @@
     default="127.0.0.1:8080",
     show_default=True,
     show_envvar=True,
-    help="Where callers connect over HTTP.",
+    help="Address on which callers connect over HTTP.",
 )
 @click.option(
     "--operators",
@@ -34,13 +34,13 @@
     default="127.0.0.1:8081",
     show_default=True,
     show_envvar=True,
-    help="Where operators' calls are served.",
+    help="Address on which operators' calls are served.",
 )
 @click.option(
     "--operator-keys",
     required=True,
     show_envvar=True,
-    help="Operators and their keys, as name:key,name:key.",
+    help="Operators and their API keys, as name:key,name:key.",
 )
 @click.option(
     "--room",
@@ -48,29 +48,29 @@
     default=512,
     show_default=True,
     show_envvar=True,
-    help="How many requests run at a time.",
+    help="Maximum number of requests that run concurrently.",
 )
 def _command(**options: Any) -> None:
-    """Take callers' requests and operators' calls."""
+    """Serve callers' requests and operators' calls."""
     running.show_user_errors(lambda: _run(options))
 
 
 def _run(options: dict[str, Any]) -> None:
     logs.start_logging(options["log_level"])
-    made = make_entry(options)
+    process = make_entry(options)
 
     async def start(nursery: trio.Nursery) -> str:
-        address = await nursery.start(made.run)
+        address = await nursery.start(process.run)
         return (
-            f"entry {options['name']}: callers {made.callers_url}, "
-            f"operators {made.operators_url}, peers {address}"
+            f"entry {options['name']}: callers {process.callers_url}, "
+            f"operators {process.operators_url}, peers {address}"
         )
 
-    running.run_until_stopped(start, made.drain)
+    running.run_until_stopped(start, process.drain)
 
 
 def make_entry(options: dict[str, Any]) -> entry.Entry:
-    """Put an entry together from checked settings."""
+    """Return an entry built from validated settings."""
     identity = settings.read_identity(options, "entry")
     tls = None
     if options["tls_certificate"] is not None:
@@ -93,6 +93,7 @@
 
 
 def _read_keys(text: str) -> dict[str, str]:
+    """Return the operators' names by the hashes of their keys."""
     keys = {}
     for part in text.split(","):
         name, _, key = part.partition(":")
--- a/magnoliacove/commands/gateway.py
+++ b/magnoliacove/commands/gateway.py
@@ -1,4 +1,4 @@
-"""``magnoliacove-gateway``: callers' HTTP on the platform."""
+"""``magnoliacove-gateway``: serves callers' HTTP on the platform."""
 
 from collections.abc import Mapping
 from collections.abc import Sequence
@@ -18,13 +18,14 @@
 
 def main() -> None:
     """Run the program."""
-    # Loading its modules takes up to a second on a small instance.  A reload
-    # that is asked for meanwhile would end the process, since that is what
-    # the signal does by default; its callers would be cut off for nothing.
-    # What it asks for is done anyhow: the settings are read after this.
+    # Loading the modules takes up to a second on a small instance.  A reload
+    # signal that arrives meanwhile would end the process, which is the
+    # signal's default action, and would cut off its callers needlessly.
+    # Ignoring it loses nothing, because the settings are read later.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     listener = listen_early(sys.argv[1:], os.environ)
-    # The store speaks HTTP/1.1; its client would load HTTP/2 beside it.
+    # The store uses HTTP/1.1, but its client library also imports HTTP/2
+    # support if that is installed.
     with load_without("h2"):
         from magnoliacove.commands import gateway_command
 
@@ -34,14 +35,16 @@
 def listen_early(
     arguments: Sequence[str], environment: Mapping[str, str]
 ) -> socket.socket | None:
-    """Listen for callers before anything else is loaded.
+    """Listen for callers before loading other modules.
 
-    When all gateways are killed at once, callers that meet no listener fail
-    at once and come back once only, mostly to another that is not up yet.
-    Here they wait while the modules load.
+    When all gateways are killed at once, a caller that finds no listener
+    fails immediately and retries only once, usually on another gateway that
+    is not running yet.  With an early listener, callers wait while the
+    modules load.
 
-    :returns: what listens, or None.  An address that cannot be used is told
-        by whoever listens for the second time, with its remedy.
+    :returns: the listening socket, or None.  None is also returned for an
+        unusable address; the later attempt to listen on it reports the
+        error and its remedy.
     """
     address = environment.get(_VARIABLE, "")
     if _FLAG in arguments[:-1]:
--- a/magnoliacove/commands/gateway_command.py
+++ b/magnoliacove/commands/gateway_command.py
@@ -1,4 +1,4 @@
-"""The gateway's command: its settings, its signals, its end."""
+"""The gateway's command: settings, signals and shutdown."""
 
 import signal
 import socket
@@ -15,8 +15,9 @@
 from magnoliacove.platform.settings import NodeSettings
 from magnoliacove.platform.settings import read_settings
 
-# Shorter than the general bound: a call that takes longer than this is
-# tried again on another connection, since one may fall silent for good.
+# Seconds; shorter than the general time-out.  A call that takes longer is
+# retried on another connection, because a connection may become
+# unresponsive permanently.
 _STORE_TIMEOUT = 1.0
 
 
@@ -27,7 +28,7 @@
     required=True,
     envvar="MAGNOLIACOVE_NODE_FILE",
     show_envvar=True,
-    help="The settings file that the platform writes.",
+    help="Settings file written by the platform.",
 )
 @click.option(
     "--metrics-port",
@@ -35,22 +36,23 @@
     default=0,
     show_default=True,
     show_envvar=True,
-    help="Where /metrics is served on this instance's address; 0 for none.",
+    help="Port for /metrics on this instance's address; 0 disables it.",
 )
 @click.option(
     "--callers",
     default="",
     show_envvar=True,
-    # The program reads it in its first step; here it is only documented.
+    # listen_early has already read this option; it is declared here only so
+    # that it is accepted and documented.
     expose_value=False,
-    help="The settings file's address for callers, so that it is listened at "
-    "before that file is read; callers that come meanwhile wait.",
+    help="The address for callers in the settings file.  The gateway listens "
+    "on it before it reads that file, so that callers connect and wait.",
 )
 @flags.log_level_option
 @click.option(
     "--check",
     is_flag=True,
-    help="Check the settings file and stop.",
+    help="Validate the settings file and exit.",
 )
 @click.pass_obj
 def _command(
@@ -60,29 +62,31 @@
     log_level: str,
     check: bool,
 ) -> None:
-    """Serve callers' requests from the platform's targets."""
+    """Forward callers' requests to the platform's targets."""
 
     def run() -> None:
-        read = read_settings(path)
+        settings = read_settings(path)
         if check:
-            click.echo(f"{path} is in order: {read.name}, {read.callers}")
+            click.echo(
+                f"{path} is in order: {settings.name}, {settings.callers}"
+            )
             return
         running.tune_collector()
         writer = logs.start_line_logging(log_level)
-        trio.run(_serve, read, path, metrics_port, listener, writer)
+        trio.run(_serve, settings, path, metrics_port, listener, writer)
 
     running.show_user_errors(run)
 
 
 async def _serve(
-    read: NodeSettings,
+    settings: NodeSettings,
     path: str,
     metrics_port: int,
     listener: socket.socket | None,
     writer: logs.LineWriter,
 ) -> None:
-    api = HttpObjectApi(f"http://{read.store}", timeout=_STORE_TIMEOUT)
-    gateway = Gateway(read, api, metrics_port, listener)
+    api = HttpObjectApi(f"http://{settings.store}", timeout=_STORE_TIMEOUT)
+    gateway = Gateway(settings, api, metrics_port, listener)
     with trio.open_signal_receiver(
         signal.SIGTERM, signal.SIGINT, signal.SIGHUP
     ) as signals:
@@ -100,16 +104,20 @@
 
 
 def _reload(gateway: Gateway, path: str) -> None:
-    """Read the settings file again; the last good one stays in force."""
+    """Reload the settings file.
+
+    An invalid file leaves the present settings in force.
+    """
     try:
         gateway.reload(read_settings(path))
-    except errors.UserError as why:
-        gateway.recorder.record("settings-unreadable", why=str(why))
+    except errors.UserError as exc:
+        gateway.recorder.record("settings-unreadable", why=str(exc))
 
 
 def main(listener: socket.socket | None = None) -> None:
     """Run the program.
 
-    :param listener: what listens at the callers' address already, or None.
+    :param listener: the socket that already listens on the callers'
+        address, or None.
     """
     _command(obj=listener, auto_envvar_prefix=flags.PREFIX)
--- a/magnoliacove/commands/operate.py
+++ b/magnoliacove/commands/operate.py
@@ -1,4 +1,4 @@
-"""``magnoliacove``: the operators' command line over the typed calls."""
+"""``magnoliacove``: the command line for operators."""
 
 from collections.abc import Callable
 from collections.abc import Sequence
@@ -25,13 +25,13 @@
 
 @dataclass(frozen=True)
 class _Session:
-    """What every command needs."""
+    """Client and output format of one invocation."""
 
     client: clients.OperatorsClient
     as_json: bool
 
     def show(self, data: Any, text: str) -> None:
-        """Print data for a script or text for a person."""
+        """Print the data as JSON, or the text, as the user chose."""
         click.echo(json.dumps(data, indent=2) if self.as_json else text)
 
 
@@ -41,20 +41,20 @@
     default="http://127.0.0.1:8081",
     show_default=True,
     show_envvar=True,
-    help="An entry's address for operators.",
+    help="URL on which an entry serves operators.",
 )
 @click.option(
     "--operator-key",
     required=True,
     show_envvar=True,
-    help="Your key; it names you in the time line.",
+    help="Your operator key; it identifies you in the time line.",
 )
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 @click.pass_context
 def _command(
     ctx: click.Context, server: str, operator_key: str, as_json: bool
 ) -> None:
-    """Change and inspect a running system."""
+    """Inspect and change a running system."""
     client = clients.OperatorsClient(server, operator_key)
     ctx.obj = _Session(client, as_json)
 
@@ -66,9 +66,11 @@
 @click.argument("kind", type=_KIND)
 @click.pass_obj
 def _list(session: _Session, kind: str) -> None:
-    """List the objects of a kind."""
-    found = session.client.read(kind)
-    items = [(conversion.read_item(i), i.version) for i in found.items]
+    """List the objects of one kind."""
+    response = session.client.read(kind)
+    items = [
+        (conversion.read_item(item), item.version) for item in response.items
+    ]
     text = "\n".join(
         f"{item.name:<24} changed in version {version}"
         for item, version in items
@@ -82,25 +84,25 @@
 @click.argument("name")
 @click.pass_obj
 def _show(session: _Session, kind: str, name: str) -> None:
-    """Show one object as it would stand in a file."""
-    found = session.client.read(kind, name).items[0]
-    item = conversion.read_item(found)
+    """Show one object in the format of a configuration file."""
+    stored = session.client.read(kind, name).items[0]
+    item = conversion.read_item(stored)
     session.show(
-        _describe(item, found.version), files.write_file([item]).rstrip()
+        _describe(item, stored.version), files.write_file([item]).rstrip()
     )
 
 
 @_command.command("status")
 @click.pass_obj
 def _status(session: _Session) -> None:
-    """Show which version is in force where, and what is served."""
+    """Show the configuration version of each instance and the services."""
     status = session.client.get_status()
     store = "" if status.store_reachable else " (the store is unreachable)"
     lines = [f"configuration version {status.version}{store}"]
     for service in status.services:
-        word = "served" if service.served else "NOT SERVED"
+        state = "served" if service.served else "NOT SERVED"
         lines.append(
-            f"service {service.name}: {word}, {service.usable} of "
+            f"service {service.name}: {state}, {service.usable} of "
             f"{service.targets} targets usable"
         )
     for instance in status.instances:
@@ -133,15 +135,17 @@
 
 def _add_kind_commands(kind: str) -> None:
     def create(ctx: click.Context, name: str, **values: Any) -> None:
-        item = _make(kind, name, _given(ctx, values))
+        item = _make(kind, name, _read_given_fields(ctx, values))
         _apply(ctx.obj, [conversion.write_put(item, 0)])
 
     def update(ctx: click.Context, name: str, **values: Any) -> None:
-        found = ctx.obj.client.read(kind, name).items[0]
-        present = configuration.to_values(conversion.read_item(found))
+        stored = ctx.obj.client.read(kind, name).items[0]
+        present = configuration.to_values(conversion.read_item(stored))
         del present["name"]
-        item = _make(kind, name, {**present, **_given(ctx, values)})
-        _apply(ctx.obj, [conversion.write_put(item, found.version)])
+        item = _make(
+            kind, name, {**present, **_read_given_fields(ctx, values)}
+        )
+        _apply(ctx.obj, [conversion.write_put(item, stored.version)])
 
     title = kind.replace("_", " ")
     for group, function, verb in (
@@ -163,13 +167,13 @@
         if field.name == "name":
             continue
         flag = "--" + field.name.replace("_", "-")
-        many = hints[field.name] not in _OPTION_TYPES
+        repeatable = hints[field.name] not in _OPTION_TYPES
         options.append(
             click.option(
                 flag,
-                multiple=many,
-                type=str if many else hints[field.name],
-                help="May be given more than once." if many else None,
+                multiple=repeatable,
+                type=str if repeatable else hints[field.name],
+                help="Can be repeated." if repeatable else None,
             )
         )
     if kind == "client_account":
@@ -177,18 +181,20 @@
             click.option(
                 "--api-key",
                 multiple=True,
-                help="A caller's key; only its hash is stored.",
+                help="API key of the account; only its hash is stored.",
             )
         )
     if kind == "target":
         options.append(
-            click.option("--layers", help="A range of layers, as 0-16.")
+            click.option("--layers", help="Range of layers, as 0-16.")
         )
     return options
 
 
-def _given(ctx: click.Context, values: dict[str, Any]) -> dict[str, Any]:
-    """Return the fields that were given on the command line."""
+def _read_given_fields(
+    ctx: click.Context, values: dict[str, Any]
+) -> dict[str, Any]:
+    """Return the fields that were set on the command line."""
     source = click.core.ParameterSource.DEFAULT
     given = {
         name: value
@@ -211,7 +217,7 @@
     first, _, end = text.partition("-")
     if not (first.isdigit() and end.isdigit()):
         raise errors.UserError(
-            f"--layers {text!r} is no range; write the first layer and one "
+            f"--layers {text!r} is not a range; write the first layer and one "
             "past the last, as 0-16"
         )
     return {"first_layer": int(first), "end_layer": int(end)}
@@ -232,22 +238,22 @@
 @click.argument("name")
 @click.pass_obj
 def _delete(session: _Session, kind: str, name: str) -> None:
-    """Delete one object that nothing refers to."""
+    """Delete one object that no other object refers to."""
     version = session.client.read(kind, name).items[0].version
     _apply(session, [conversion.write_removal(kind, name, version)])
 
 
 @_command.command("drain")
 @click.argument("target")
-@click.option("--undo", is_flag=True, help="Let it take work again.")
+@click.option("--undo", is_flag=True, help="Let the target accept work again.")
 @click.pass_obj
 def _drain(session: _Session, target: str, undo: bool) -> None:
-    """Give a target no new work; what it runs ends or moves."""
-    found = session.client.read("target", target).items[0]
-    values = configuration.to_values(conversion.read_item(found))
+    """Send a target no new work; its running work finishes or moves."""
+    stored = session.client.read("target", target).items[0]
+    values = configuration.to_values(conversion.read_item(stored))
     values["state"] = "active" if undo else "draining"
     item = configuration.make_object("target", values)
-    _apply(session, [conversion.write_put(item, found.version)])
+    _apply(session, [conversion.write_put(item, stored.version)])
 
 
 @_command.command("order")
@@ -256,12 +262,12 @@
 @click.argument("argument", default="")
 @click.pass_obj
 def _order(session: _Session, target: str, action: str, argument: str) -> None:
-    """Order the engine beside a target to load or change something."""
+    """Send an order to a target's engine, such as to load layers."""
     result = session.client.give_order(target, action, argument)
     if not result.applied:
         raise errors.UserError(f"the order was refused: {result.reason}")
     session.show(
-        _to_data(result), f"applied under fencing number {result.fence}"
+        _to_data(result), f"applied under fencing token {result.fence}"
     )
 
 
@@ -271,7 +277,7 @@
     "-f", "--file", "path", type=click.File(encoding="utf-8"), required=True
 )
 _PRUNE = click.option(
-    "--prune", is_flag=True, help="Delete what the file does not name."
+    "--prune", is_flag=True, help="Delete objects that are not in the file."
 )
 
 
@@ -280,7 +286,7 @@
 @_PRUNE
 @click.pass_obj
 def _plan(session: _Session, path: Any, prune: bool) -> None:
-    """Show what applying a file would change."""
+    """Show the changes that applying a file would make."""
     operations = _compare(session, files.parse_file(path.read()), prune)
     _show_plan(session, operations)
 
@@ -288,10 +294,10 @@
 @_command.command("apply")
 @_FILE
 @_PRUNE
-@click.option("--yes", is_flag=True, help="Do not ask.")
+@click.option("--yes", is_flag=True, help="Do not ask for confirmation.")
 @click.pass_obj
 def _apply_file(session: _Session, path: Any, prune: bool, yes: bool) -> None:
-    """Make the configuration what a file says, as one version."""
+    """Change the configuration to match a file, as one version."""
     operations = _compare(session, files.parse_file(path.read()), prune)
     if not operations:
         session.show({"version": None}, "nothing to change")
@@ -305,13 +311,13 @@
 @_command.command("export")
 @click.pass_obj
 def _export(session: _Session) -> None:
-    """Print the whole configuration as a file."""
-    found = [
+    """Print the entire configuration in file format."""
+    items = [
         conversion.read_item(item)
         for kind in configuration.KINDS
         for item in session.client.read(kind).items
     ]
-    click.echo(files.write_file(found).rstrip())
+    click.echo(files.write_file(items).rstrip())
 
 
 def _compare(
@@ -319,16 +325,20 @@
     wanted: Sequence[configuration.ConfigurationObject],
     prune: bool,
 ) -> list[pb.Operation]:
-    """Return the operations that lead from what is to what is wanted."""
+    """Return the operations that turn the present configuration into this.
+
+    :param wanted: the objects of the configuration to reach.
+    :param prune: whether to delete objects that are not wanted.
+    """
     present: dict[tuple[str, str], tuple[Any, int]] = {}
     for kind in configuration.KINDS:
-        for found in session.client.read(kind).items:
-            item = conversion.read_item(found)
-            present[(kind, item.name)] = (item, found.version)
+        for stored in session.client.read(kind).items:
+            item = conversion.read_item(stored)
+            present[(kind, item.name)] = (item, stored.version)
     operations = []
     for item in wanted:
-        held, version = present.pop((item.kind, item.name), (None, 0))
-        if held != item:
+        existing, version = present.pop((item.kind, item.name), (None, 0))
+        if existing != item:
             operations.append(conversion.write_put(item, version))
     if prune:
         operations.extend(
@@ -357,7 +367,7 @@
     result = session.client.apply(operations)
     text = f"accepted as version {result.version}"
     if result.already_applied:
-        text += " (an earlier try had applied it)"
+        text += " (already applied by an earlier attempt)"
     session.show(_to_data(result), text)
 
 
--- a/magnoliacove/commands/running.py
+++ b/magnoliacove/commands/running.py
@@ -1,4 +1,4 @@
-"""Running a long-lived program: signals, graceful stop, friendly errors."""
+"""Run long-running programs: signals, graceful shutdown and errors."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -14,29 +14,34 @@
 
 __all__ = ["run_until_stopped", "show_user_errors", "tune_collector"]
 
-_GARBAGE_THRESHOLD = 20_000
+# Net allocations that trigger a collection of the youngest generation.
+_GC_THRESHOLD = 20_000
 
 
 def show_user_errors(command: Callable[[], Any]) -> None:
-    """Run a command; show a user's mistake as one line."""
+    """Run a command, and print an error as one line.
+
+    The program exits with status 2 after a user's mistake, and with status
+    1 after any other error of this project.
+    """
     try:
         command()
-    except errors.UserError as why:
-        click.echo(f"error: {why}", err=True)
+    except errors.UserError as exc:
+        click.echo(f"error: {exc}", err=True)
         sys.exit(2)
-    except errors.Error as why:
-        click.echo(f"error: {why}", err=True)
+    except errors.Error as exc:
+        click.echo(f"error: {exc}", err=True)
         sys.exit(1)
 
 
 def tune_collector() -> None:
-    """Let the garbage collector run less often, over fewer objects.
+    """Make the garbage collector run less often and scan fewer objects.
 
-    Objects of the imported modules live as long as the process.  Looking
-    through them again and again takes long and delays tokens.
+    The objects of imported modules live as long as the process.  Scanning
+    them repeatedly takes long and delays tokens.
     """
     gc.freeze()
-    gc.set_threshold(_GARBAGE_THRESHOLD)
+    gc.set_threshold(_GC_THRESHOLD)
 
 
 def run_until_stopped(
@@ -45,9 +50,10 @@
 ) -> None:
     """Run a program until SIGTERM or SIGINT, then drain and stop it.
 
-    A second signal stops it at once.
+    A second signal stops it immediately.
 
     :param start: starts the program and returns a line to print.
+    :param drain: completes the running work before the program stops.
     """
     tune_collector()
 
--- a/magnoliacove/commands/standin.py
+++ b/magnoliacove/commands/standin.py
@@ -1,4 +1,4 @@
-"""``magnoliacove-standin``: stand-ins for what is outside the system."""
+"""``magnoliacove-standin``: stand-ins for external services."""
 
 import click
 import trio
@@ -15,7 +15,7 @@
     type=settings.AddressType(),
     default="127.0.0.1:0",
     show_default=True,
-    help="Where to serve HTTP.",
+    help="Address on which HTTP is served.",
 )
 
 
@@ -32,7 +32,7 @@
 
 @click.group()
 def _command() -> None:
-    """Run a stand-in for tests and trials; never for real work."""
+    """Run a stand-in for tests and trials; not for production."""
 
 
 @_command.command("object-api")
@@ -72,7 +72,7 @@
 @_LISTEN
 @click.option("--name", default="plain", show_default=True)
 def _serve_plain(listen: object, name: str) -> None:
-    """Serve a plain service that says what it ran."""
+    """Serve a plain service that reports what it ran."""
     _serve(plain.make_app(plain.StandInPlain(name)), listen)
 
 
--- a/magnoliacove/commands/timeline.py
+++ b/magnoliacove/commands/timeline.py
@@ -1,4 +1,4 @@
-"""``magnoliacove-timeline``: what happened, over all processes."""
+"""``magnoliacove-timeline``: the events of all processes in order."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -27,43 +27,49 @@
 
 @click.command()
 @click.option(
-    "--object-api", show_envvar=True, help="Where to look up the processes."
+    "--object-api",
+    show_envvar=True,
+    help="URL of the object API that lists the processes.",
 )
 @click.option(
     "--process",
     "processes",
     multiple=True,
     type=_ADDRESS,
-    help="A process to ask; may be given more than once.",
+    help="Address of a process to query; can be repeated.",
 )
 @click.option(
     "--log",
     "log_files",
     multiple=True,
     type=click.File(encoding="utf-8"),
-    help="A JSON-lines log to read as well.",
+    help="JSON-lines log to read in addition; can be repeated.",
+)
+@click.option("--request", default="", help="Show only this request.")
+@click.option("--target", default="", help="Show only this target.")
+@click.option("--instance", default="", help="Show only this process.")
+@click.option("--kind", default="", help="Show only events of this kind.")
+@click.option(
+    "--follow", is_flag=True, help="Continue with new events as they happen."
+)
+@click.option(
+    "--explain", is_flag=True, help="Describe the request's events in words."
 )
-@click.option("--request", default="", help="Only this request.")
-@click.option("--target", default="", help="Only this target.")
-@click.option("--instance", default="", help="Only this process.")
-@click.option("--kind", default="", help="Only events of this kind.")
-@click.option("--follow", is_flag=True, help="Go on with what happens.")
-@click.option("--explain", is_flag=True, help="Say in words what happened.")
 @click.option(
     "--losses",
     is_flag=True,
-    help="Count failed and late requests by cause and by second.",
+    help="Count failed and late requests by cause and second.",
 )
 @click.option("--json", "as_json", is_flag=True, help="Print JSON lines.")
 @click.option(
-    "--html", type=click.Path(dir_okay=False), help="Write a picture."
+    "--html", type=click.Path(dir_okay=False), help="Write an HTML page."
 )
 @settings.tls_options
 def _command(**options: Any) -> None:
-    """Gather the events of all processes and show them in order.
+    """Collect the events of all processes and show them in order.
 
-    Each process keeps its recent events in memory only; a process that
-    has died is known by what the others saw of it, and by its log.
+    Processes keep their recent events in memory only.  For a process that
+    has ended, only its log and the events of other processes remain.
     """
     running.show_user_errors(lambda: trio.run(_run, options))
 
@@ -79,13 +85,13 @@
     if options["follow"]:
         await _follow(network, addresses, query, options)
         return
-    asked = await _ask_all(network, addresses, query)
+    queried = await _query_processes(network, addresses, query)
     logged = [gather.read_log(file) for file in options["log_files"]]
-    events = _filter(gather.merge_events([asked, *logged]), options)
+    events = _filter(gather.merge_events([queried, *logged]), options)
     if options["losses"]:
-        found = losses.find_losses(events)
-        click.echo(losses_view.render_losses_text(found))
-        await _write_page(options, losses_view.render_losses_html(found))
+        lost = losses.find_losses(events)
+        click.echo(losses_view.render_losses_text(lost))
+        await _write_page(options, losses_view.render_losses_html(lost))
     elif options["html"]:
         await _write_page(options, render.render_html(events, "Time line"))
     elif options["explain"]:
@@ -95,67 +101,68 @@
 
 
 async def _write_page(options: dict[str, Any], page: str) -> None:
-    """Write the picture if one was asked for."""
+    """Write the HTML page if the user requested one."""
     if options["html"]:
         await trio.Path(options["html"]).write_text(page, encoding="utf-8")
-        click.echo(f"the picture is in {options['html']}")
+        click.echo(f"wrote the page to {options['html']}")
 
 
 async def _find_processes(options: dict[str, Any]) -> list[wire.Address]:
-    found = list(options["processes"])
+    addresses = list(options["processes"])
     url = options["object_api"]
     if url:
         try:
             listing = await platform.HttpObjectApi(url).list_records(
                 directory.PREFIX
             )
-        except errors.PlatformError as why:
-            if not found:
+        except errors.PlatformError as exc:
+            if not addresses:
                 raise errors.UserError(
-                    f"{why}; name processes with --process instead"
-                ) from why
-            click.echo(f"warning: {why}", err=True)
+                    f"{exc}; name processes with --process instead"
+                ) from exc
+            click.echo(f"warning: {exc}", err=True)
         else:
-            entries = [read_entry(r.value) for r in listing.records]
-            found.extend(
+            entries = [read_entry(record.value) for record in listing.records]
+            addresses.extend(
                 entry.parsed_address
                 for entry in entries
                 if isinstance(entry, directory.Instance)
             )
-    if not found and not options["log_files"]:
+    if not addresses and not options["log_files"]:
         raise errors.UserError(
             "no process is named; set --object-api "
             "(MAGNOLIACOVE_OBJECT_API), --process or --log"
         )
-    return list(dict.fromkeys(found))
+    return list(dict.fromkeys(addresses))
 
 
-async def _ask_all(
+async def _query_processes(
     network: wire.Network,
     addresses: Sequence[wire.Address],
     query: messages.EventsQuery,
 ) -> list[Event]:
+    """Return the events of all processes, and warn of unresponsive ones."""
     send, receive = trio.open_memory_channel[Event](10_000)
-    silent: list[str] = []
-    found: list[Event] = []
+    unresponsive: list[str] = []
+    events: list[Event] = []
 
-    async def ask(address: wire.Address) -> None:
+    async def query_one(address: wire.Address) -> None:
         if not await gather.ask_events(network, address, query, send):
-            silent.append(str(address))
+            unresponsive.append(str(address))
 
     async def collect() -> None:
         async for event in receive:
-            found.append(event)
+            events.append(event)
 
     async with trio.open_nursery() as nursery:
         nursery.start_soon(collect)
-        async with trio.open_nursery() as askers:
+        async with trio.open_nursery() as queries:
             for address in addresses:
-                askers.start_soon(ask, address)
+                queries.start_soon(query_one, address)
         await send.aclose()
-    if silent:
-        click.echo(f"no answer from {', '.join(silent)}", err=True)
-    return found
+    if unresponsive:
+        click.echo(f"no answer from {', '.join(unresponsive)}", err=True)
+    return events
 
 
 async def _follow(
@@ -179,13 +186,14 @@
         event
         for event in events
         if event.request.startswith(options["request"])
-        and options["target"] in ("", *event.targets, *_name_entries(event))
+        and options["target"]
+        in ("", *event.targets, *_strip_incarnations(event))
         and options["instance"] in ("", event.process)
         and options["kind"] in ("", event.kind)
     ]
 
 
-def _name_entries(event: Event) -> list[str]:
+def _strip_incarnations(event: Event) -> list[str]:
     """Return the names of an event's targets without their incarnations."""
     return [split_incarnation(name)[0] for name in event.targets]
 
--- a/magnoliacove/process.py
+++ b/magnoliacove/process.py
@@ -219,8 +219,8 @@
         lines = [event.to_json() for event in recorded]
         channel = self.recorder.follow()
         try:
-            for start in range(0, len(lines), _EVENTS_PER_FRAME):
-                batch = tuple(lines[start : start + _EVENTS_PER_FRAME])
+            for offset in range(0, len(lines), _EVENTS_PER_FRAME):
+                batch = tuple(lines[offset : offset + _EVENTS_PER_FRAME])
                 await connection.send(messages.Events(batch))
             if not query.follow:
                 await connection.send(messages.Events(()))
--- a/magnoliacove/settings.py
+++ b/magnoliacove/settings.py
@@ -126,7 +126,7 @@
     command: Callable[..., Any], options: list[Callable[..., Any]]
 ) -> Callable[..., Any]:
     return functools.reduce(
-        lambda decorated, option: option(decorated),
+        lambda decorated, decorator: decorator(decorated),
         reversed(options),
         command,
     )
