--- a/magnoliacove/commands/timeline.py
+++ b/magnoliacove/commands/timeline.py
@@ -143,16 +143,16 @@
 ) -> list[Event]:
     """Return the events of all processes, and warn of unresponsive ones."""
     send, receive = trio.open_memory_channel[Event](10_000)
-    unresponsive: list[str] = []
-    events: list[Event] = []
+    silent: list[str] = []
+    found: list[Event] = []
 
     async def query_one(address: wire.Address) -> None:
         if not await gather.ask_events(network, address, query, send):
-            unresponsive.append(str(address))
+            silent.append(str(address))
 
     async def collect() -> None:
         async for event in receive:
-            events.append(event)
+            found.append(event)
 
     async with trio.open_nursery() as nursery:
         nursery.start_soon(collect)
@@ -160,9 +160,9 @@
             for address in addresses:
                 queries.start_soon(query_one, address)
         await send.aclose()
-    if unresponsive:
-        click.echo(f"no answer from {', '.join(unresponsive)}", err=True)
-    return events
+    if silent:
+        click.echo(f"no answer from {', '.join(silent)}", err=True)
+    return found
 
 
 async def _follow(
