--- a/features/callers.feature
+++ b/features/callers.feature
@@ -1,5 +1,5 @@
-Feature: What a caller is told about a bad request
-  A caller gets a typed error that says what to do, and nothing runs.
+Feature: Errors for invalid requests
+  A caller receives a typed error that states the remedy, and nothing runs.
 
   Scenario Outline: <case>
     Given a running fleet
--- a/features/steps/callers.py
+++ b/features/steps/callers.py
@@ -18,7 +18,9 @@
         answer = await caller.request(method, path, body, headers)
         context.status = answer.status
         context.error = json.loads(answer.content)["error"]
-        context.steps = sum(len(e.steps_run) for e in fleet.engines.values())
+        context.steps = sum(
+            len(engine.steps_run) for engine in fleet.engines.values()
+        )
 
 
 @given("a running fleet")
@@ -29,8 +31,8 @@
 @when('a caller sends {method} {path} with key "{key}" and body {body}')
 def send_request(context, method, path, key, body):
     if "*" in body:
-        count, _, letter = body.partition("*")
-        body = letter * int(count)
+        count, _, character = body.partition("*")
+        body = character * int(count)
     headers = {}
     if key in ("-", "bad"):
         headers["authorization"] = f"Bearer {key}"
@@ -42,8 +44,8 @@
 
 @then('the answer is {status:d} with code "{code}" and outcome "{outcome}"')
 def check_answer(context, status, code, outcome):
-    found = (context.status, context.error["code"], context.error["outcome"])
-    assert found == (status, code, outcome), found
+    actual = (context.status, context.error["code"], context.error["outcome"])
+    assert actual == (status, code, outcome), actual
     assert context.error["message"]
 
 
--- a/magnoliacove/commands/operate.py
+++ b/magnoliacove/commands/operate.py
@@ -262,7 +262,7 @@
 @click.argument("argument", default="")
 @click.pass_obj
 def _order(session: _Session, target: str, action: str, argument: str) -> None:
-    """Send an order to a target's engine, such as to load layers."""
+    """Order a target's engine to load or change something."""
     result = session.client.give_order(target, action, argument)
     if not result.applied:
         raise errors.UserError(f"the order was refused: {result.reason}")
@@ -322,13 +322,13 @@
 
 def _compare(
     session: _Session,
-    wanted: Sequence[configuration.ConfigurationObject],
+    desired: Sequence[configuration.ConfigurationObject],
     prune: bool,
 ) -> list[pb.Operation]:
-    """Return the operations that turn the present configuration into this.
+    """Return the operations that lead to the desired configuration.
 
-    :param wanted: the objects of the configuration to reach.
-    :param prune: whether to delete objects that are not wanted.
+    :param desired: all objects of that configuration.
+    :param prune: whether to delete objects that are not among them.
     """
     present: dict[tuple[str, str], tuple[Any, int]] = {}
     for kind in configuration.KINDS:
@@ -336,7 +336,7 @@
             item = conversion.read_item(stored)
             present[(kind, item.name)] = (item, stored.version)
     operations = []
-    for item in wanted:
+    for item in desired:
         existing, version = present.pop((item.kind, item.name), (None, 0))
         if existing != item:
             operations.append(conversion.write_put(item, version))
--- a/magnoliacove/defaults.py
+++ b/magnoliacove/defaults.py
@@ -16,7 +16,10 @@
 HEARTBEAT_BYTES = 290
 # Bytes per second that all heartbeats of a process may use.
 CONTROL_BUDGET = 6000
+# Heartbeats of the accepting end of a connection; the dialling end sends its
+# own well before.
 ACCEPTED_HEARTBEAT_INTERVAL = 30.0
+# Heartbeats on connections that carry directory subscriptions.
 FEED_HEARTBEAT_INTERVAL = 4.0
 INITIAL_RECONNECT_DELAY = 0.05
 MAX_RECONNECT_DELAY = 1.0
@@ -32,6 +35,7 @@
 STALL_TIMEOUT = 2.0
 ENGINE_TIMEOUT = 1.5
 MAX_ATTEMPTS = 8
+# Retries allowed for each request, and at once after a quiet period.
 RETRY_RATIO = 0.1
 RETRY_BURST = 20.0
 
@@ -43,11 +47,13 @@
 RETAINED_OUTPUT_BYTES = 8 * 1024 * 1024
 KEY_WINDOW = 600.0
 KEY_CLOCK_SKEW = 1.0
+# Keys minted further ahead of this process's clock are refused.
 MAX_KEY_LEAD = 2.0
 MAX_KEYS = 50_000
 MAX_RECORDED_ANSWER = 16 * 1024
 MAX_RECORDED_BYTES = 8 * 1024 * 1024
 DRAIN_TIMEOUT = 120.0
+# Streams are moved off a draining target after this time.
 DRAIN_MOVE_AFTER = 2.0
 
 # Configuration and service directory.
--- a/tests/commands/test_commands.py
+++ b/tests/commands/test_commands.py
@@ -1,4 +1,4 @@
-"""The programs' settings and the operators' command line."""
+"""Settings of the programs, and the operators' command line."""
 
 import json
 
@@ -12,7 +12,7 @@
 from magnoliacove.commands import timeline
 from magnoliacove.standins import fleet as fleets
 
-_PROCESS = [
+_PROCESS_FLAGS = [
     "--name",
     "x",
     "--data-centre",
@@ -20,35 +20,59 @@
     "--object-api",
     "http://127.0.0.1:1",
 ]
-_ENTRY = [*_PROCESS, "--callers", "127.0.0.1:0", "--operators", "127.0.0.1:0"]
-_MISTAKES = [
+_ENTRY_FLAGS = [
+    *_PROCESS_FLAGS,
+    "--callers",
+    "127.0.0.1:0",
+    "--operators",
+    "127.0.0.1:0",
+]
+_INVALID_SETTINGS = [
     (entry, [], "--name"),
-    (entry, [*_ENTRY, "--operator-keys", "ann"], "ann:KEY,ben:KEY"),
+    (entry, [*_ENTRY_FLAGS, "--operator-keys", "ann"], "ann:KEY,ben:KEY"),
     (
         entry,
-        [*_ENTRY, "--operator-keys", "ann:12345678", "--listen", "10.0.0.1:1"],
+        [
+            *_ENTRY_FLAGS,
+            "--operator-keys",
+            "ann:12345678",
+            "--listen",
+            "10.0.0.1:1",
+        ],
         "MAGNOLIACOVE_LISTEN",
     ),
     (
         entry,
-        [*_ENTRY, "--operator-keys", "ann:12345678", "--callers", "here"],
+        [
+            *_ENTRY_FLAGS,
+            "--operator-keys",
+            "ann:12345678",
+            "--callers",
+            "here",
+        ],
         "write it as 10.0.0.5:7000",
     ),
     (
         entry,
-        [*_ENTRY, "--operator-keys", "a:12345678", "--callers", "0.0.0.0:1"],
+        [
+            *_ENTRY_FLAGS,
+            "--operator-keys",
+            "a:12345678",
+            "--callers",
+            "0.0.0.0:1",
+        ],
         "there is no TLS",
     ),
-    (agent, [*_PROCESS, "--target-form", "model"], "--target-url"),
+    (agent, [*_PROCESS_FLAGS, "--target-form", "model"], "--target-url"),
     (
         agent,
-        [*_PROCESS, "--target-form", "car", "--target-url", "http://x"],
+        [*_PROCESS_FLAGS, "--target-form", "car", "--target-url", "http://x"],
         "'model', 'plain'",
     ),
     (
         agent,
         [
-            *_PROCESS,
+            *_PROCESS_FLAGS,
             "--target-form",
             "plain",
             "--target-url",
@@ -63,8 +87,10 @@
 ]
 
 
-@pytest.mark.parametrize(("program", "flags", "remedy"), _MISTAKES)
-def test_mistakes_name_flag_and_remedy(program, flags, remedy):
+@pytest.mark.parametrize(("program", "flags", "remedy"), _INVALID_SETTINGS)
+def test_an_invalid_setting_is_reported_with_flag_and_remedy(
+    program, flags, remedy
+):
     result = CliRunner().invoke(
         program._command, flags, auto_envvar_prefix="MAGNOLIACOVE"
     )
@@ -73,7 +99,7 @@
     assert "Traceback" not in result.output
 
 
-def test_settings_from_variables(monkeypatch):
+def test_environment_variables_set_options(monkeypatch):
     monkeypatch.setenv("MAGNOLIACOVE_NAME", "x")
     monkeypatch.setenv("MAGNOLIACOVE_LISTEN", "nowhere")
     result = CliRunner().invoke(
@@ -84,7 +110,7 @@
     assert "nowhere" in result.output
 
 
-_FILE = """
+_CONFIGURATION_FILE = """
 [data_centre.antw-c]
 region = "be-vla"
 
@@ -93,8 +119,8 @@
 """
 
 
-async def test_operators_day(tmp_path):
-    """Create, change, plan, apply, drain and inspect, as a person would."""
+async def test_operator_commands_on_a_running_fleet(tmp_path):
+    """Create, update, plan, apply, drain and inspect objects in turn."""
     async with fleets.open_fleet() as fleet:
         url = fleet.entries["entry-0"].made.operators_url
 
@@ -113,30 +139,30 @@
         created = await run(
             "create", "client-account", "quill", "--api-key", "secret-key"
         )
-        again = await run("create", "client-account", "quill")
+        duplicate = await run("create", "client-account", "quill")
         shown = await run("show", "client_account", "quill")
         updated = await run(
             "update", "client-account", "quill", "--weight", "2"
         )
         listed = json.loads(await run("--json", "list", "client_account"))
         path = str(tmp_path / "f.toml")
-        await trio.Path(path).write_text(_FILE)
+        await trio.Path(path).write_text(_CONFIGURATION_FILE)
         planned = await run("plan", "-f", path)
         applied = await run("apply", "-f", path, "--yes")
-        nothing = await run("apply", "-f", path, "--yes")
+        unchanged = await run("apply", "-f", path, "--yes")
         drained = await run("drain", "llm-0-0")
         status = await run("status")
         missing = await run("delete", "target", "no")
         layers = await run("update", "target", "llm-0-0", "--layers", "x")
     assert "accepted as version" in created
-    assert "use update" in str(again)
+    assert "use update" in str(duplicate)
     assert "secret-key" not in shown
     assert "accepted" in updated
     quill = next(item for item in listed if item["name"] == "quill")
     assert (quill["weight"], len(quill["key_hashes"])) == (2.0, 1)
     assert "create data_centre antw-c" in planned
     assert "accepted" in applied
-    assert nothing == "nothing to change\n"
+    assert unchanged == "nothing to change\n"
     assert "accepted" in drained
     assert "service catalog-llm: served" in status
     assert "list the names" in str(missing)
--- a/tests/commands/test_gateway.py
+++ b/tests/commands/test_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway's program: settings checked, the deploy files in step."""
+"""The gateway program: settings, deployed libraries and start-up."""
 
 import pathlib
 import re
@@ -16,7 +16,7 @@
 _ROOT = pathlib.Path(__file__).parents[2]
 
 
-def test_settings_can_be_checked(tmp_path):
+def test_check_accepts_valid_settings(tmp_path):
     path = samples.write_settings(tmp_path / "s.json")
     result = CliRunner().invoke(
         gateway_command._command, ["--settings", path, "--check"]
@@ -25,7 +25,7 @@
     assert "in order" in result.output
 
 
-def test_a_mistake_is_one_friendly_line(tmp_path):
+def test_an_invalid_setting_is_reported_without_a_traceback(tmp_path):
     path = samples.write_settings(tmp_path / "s.json", bounds={})
     result = CliRunner().invoke(gateway_command._command, ["--settings", path])
     assert result.exit_code == 2
@@ -39,7 +39,7 @@
 
 
 def _run_code(code):
-    """Run some lines in an interpreter of their own."""
+    """Run code in a separate interpreter."""
     return subprocess.run(
         [sys.executable, "-c", code],
         capture_output=True,
@@ -48,16 +48,16 @@
     )
 
 
-def test_deployed_libraries_have_the_versions_that_are_tested():
+def test_deployed_libraries_have_the_tested_versions():
     deployed = _read_pins("deploy/requirements.txt")
     locked = _read_pins("requirements.lock")
     assert deployed
     assert {name: locked.get(name) for name in deployed} == deployed
 
 
-def test_the_gateway_imports_only_what_is_deployed():
-    """A library that only the other programs need would be missing where
-    the gateway runs, and it would not start.
+def test_the_gateway_imports_only_deployed_libraries():
+    """A gateway that imports a library of the other programs does not start,
+    because that library is not installed where gateways run.
     """
     code = (
         "import sys, magnoliacove.commands.gateway;"
@@ -73,9 +73,9 @@
 
 
 def test_a_reload_during_the_start_does_not_end_the_process():
-    """The settings change just after a gateway was started, while it still
-    loads its modules.  The signal's default ends the process: it was gone
-    without a line in its log, and its callers found no connection.
+    """The platform changes the settings while a started gateway still loads
+    its modules.  The default action of SIGHUP ends the process: it left no
+    line in its log, and its callers could not connect.
     """
     code = (
         "import os, signal, sys, types;"
@@ -92,8 +92,8 @@
     assert (result.returncode, result.stdout) == (0, "alive\n")
 
 
-# What a gateway has to load before it answers costs its callers that time.
-_NOT_AT_THE_START = {
+# Callers wait for every module that a gateway loads before it can answer.
+_NOT_LOADED_AT_START = {
     "aioprometheus",
     "asyncio",
     "capnp",
@@ -111,10 +111,10 @@
 }
 
 
-def test_only_what_serves_a_request_is_loaded_at_the_start():
-    """All gateways were killed and start again.  Callers come at once and
-    wait for the modules to load; each that no request needs makes them
-    wait longer, and some of them leave.
+def test_start_up_loads_only_modules_that_serve_requests():
+    """After all gateways were killed and restart, callers connect at once and
+    wait until the modules are loaded.  Each module that no request needs
+    prolongs that wait, and some callers leave.
     """
     code = (
         "import sys;"
@@ -126,14 +126,14 @@
     )
     result = _run_code(code)
     assert result.returncode == 0, result.stderr
-    loaded = _NOT_AT_THE_START.intersection(result.stdout.split())
+    loaded = _NOT_LOADED_AT_START.intersection(result.stdout.split())
     assert loaded == set()
 
 
-def test_callers_are_listened_for_before_anything_is_loaded():
-    """All gateways were killed and start again.  A caller that connects
-    while the modules load is taken and waits; it would else be refused,
-    come back once to another gateway that loads as well, and be lost.
+def test_the_gateway_listens_before_it_loads_modules():
+    """After all gateways were killed and restart, a caller that connects
+    while the modules load must wait.  Without a listener it is refused,
+    retries once on another gateway that is loading as well, and fails.
     """
     code = (
         "import sys, socket;"
@@ -150,12 +150,12 @@
 @pytest.mark.parametrize(
     "arguments", [[], ["--callers"], ["--callers", "here"], ["--metrics"]]
 )
-def test_without_an_address_nothing_listens_early(arguments):
+def test_without_a_valid_address_nothing_listens_early(arguments):
     assert gateway.listen_early(arguments, {}) is None
 
 
-def test_an_address_in_use_is_left_to_the_settings():
-    with bind_socket("127.0.0.1", 0) as taken:
-        port = taken.getsockname()[1]
+def test_listening_early_ignores_an_address_in_use():
+    with bind_socket("127.0.0.1", 0) as bound:
+        port = bound.getsockname()[1]
         arguments = ["--callers", f"127.0.0.1:{port}"]
         assert gateway.listen_early(arguments, {}) is None
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -13,13 +13,14 @@
 
 @pytest.hookimpl(trylast=True)
 def pytest_collection_modifyitems(config, items):
-    known = known_red.read_known_red(known_red.KNOWN_RED)
-    whole = config.args_source is pytest.Config.ArgsSource.TESTPATHS
-    known_red.expect_failures(known, items, whole)
+    entries = known_red.read_known_red(known_red.KNOWN_RED)
+    all_collected = config.args_source is pytest.Config.ArgsSource.TESTPATHS
+    known_red.expect_failures(entries, items, all_collected)
 
 
 def pytest_terminal_summary(terminalreporter):
-    for one in known_red.read_known_red(known_red.KNOWN_RED):
+    for entry in known_red.read_known_red(known_red.KNOWN_RED):
         terminalreporter.write_line(
-            f"known red: {one.test}: {one.seen}; {one.cause} ({one.issue})"
+            f"known red: {entry.test}: {entry.seen}; "
+            f"{entry.cause} ({entry.issue})"
         )
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Small helpers for tests: fleets in memory, and asking an ASGI app."""
+"""Helpers that run in-memory fleets and send requests to ASGI apps."""
 
 import contextlib
 import json
@@ -11,7 +11,7 @@
 
 @contextlib.asynccontextmanager
 async def open_memory_fleet(**settings):
-    """Run a fleet without sockets, so that the clock may jump."""
+    """Run a fleet without sockets, so that the test clock can jump."""
     async with fleets.open_fleet(links=network.Links(), **settings) as fleet:
         yield fleet
 
@@ -19,40 +19,39 @@
 async def ask(
     fleet, method, path, body=b"", headers=None, entry="entry-0", on_part=None
 ):
-    """Send one request to an entry's application and return the answer."""
+    """Send a request to an entry's ASGI app and return the answer."""
     app = fleet.entries[entry].made.app
     return await callers.ask(app, method, path, body, headers, on_part)
 
 
 async def stream(fleet, prompt, tokens, on_token=None, entry="entry-0"):
-    """Stream an answer; return its text, or the error that ended it."""
+    """Stream an answer; return its text, or the decoded error on failure."""
     body = callers.make_body(prompt, tokens, stream=True)
     answer = await ask(
         fleet, "POST", "/v1/completions", body, None, entry, on_token
     )
     try:
         return "".join(callers.read_events(answer.body.split(b"\n\n")))
-    except RuntimeError as why:
-        return json.loads(str(why))
+    except RuntimeError as exc:
+        return json.loads(str(exc))
 
 
 def compute_expected_text(prompt, tokens, layers=8):
-    """Return the text of an undisturbed model."""
+    """Return the text that the model generates without any failure."""
     return b"".join(
         engine.compute_tokens(prompt.encode(), layers, tokens)
     ).decode()
 
 
 def find_stage_target(fleet, first_layer):
-    """Return the target that runs the stage from a layer on."""
+    """Return the target that runs the stage that starts at a layer."""
     return next(
         name
-        for name, running in fleet.agents.items()
-        if name.startswith(f"llm-{first_layer}-")
-        and running.made.stages.stages
+        for name, agent in fleet.agents.items()
+        if name.startswith(f"llm-{first_layer}-") and agent.made.stages.stages
     )
 
 
-def list_kinds(fleet, kind):
+def list_events(fleet, kind):
     """Return the events of one kind, in causal order."""
     return fleet.list_events(kind)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,12 +1,12 @@
-"""Tests of faults that are known and not mended yet.
+"""Tests that are known to fail because of faults not yet fixed.
 
-Each line of ``KNOWN-RED.txt`` names one, its fields between bars:
+Each line of ``KNOWN-RED.txt`` lists one test, with fields separated by bars:
 
     test | command | seed | what was seen | cause | issue
 
-Such a test runs with all others and must fail.  The run fails when one of
-them passes, so a line is taken out with its mend, and when the file names a
-test that is not there, or twice.
+A listed test runs with all others and must fail.  The run fails if a listed
+test passes, so that its line is removed together with the fix.  The run also
+fails if the file lists a test that does not exist, or lists a test twice.
 """
 
 from dataclasses import dataclass
@@ -20,9 +20,9 @@
 
 @dataclass(frozen=True)
 class KnownRed:
-    """One test that is known to fail.
+    """A test that is known to fail.
 
-    :param test: its id, as pytest takes it.
+    :param test: its pytest node id.
     """
 
     test: str
@@ -34,44 +34,44 @@
 
     @property
     def file(self):
-        """The file that holds the test."""
+        """The path of the file that contains the test."""
         return self.test.partition("::")[0]
 
 
 def read_known_red(path):
-    """Return the tests that a file names; none without a file.
+    """Return the tests that a file lists, or none if it does not exist.
 
-    :raises pytest.UsageError: when a line lacks a field, or a test is named
-        twice.
+    :raises pytest.UsageError: when a line lacks a field, or a test is
+        listed twice.
     """
     if not path.exists():
         return []
     lines = [line for line in path.read_text().splitlines() if line.strip()]
-    known = [_read_line(line) for line in lines]
-    if len({one.test for one in known}) < len(known):
+    entries = [_read_line(line) for line in lines]
+    if len({entry.test for entry in entries}) < len(entries):
         raise pytest.UsageError(
-            f"{path.name} names a test twice; give each one line"
+            f"{path.name} lists a test twice; list each test once"
         )
-    return known
+    return entries
 
 
-def expect_failures(known, items, whole):
-    """Expect the known tests among the collected ones to fail.
+def expect_failures(entries, items, all_collected):
+    """Mark the listed tests among the collected ones as expected to fail.
 
-    :param whole: whether all tests were collected.
-    :raises pytest.UsageError: when a known test is not there.
+    :param all_collected: whether all tests were collected.
+    :raises pytest.UsageError: when a listed test does not exist.
     """
     by_id = {item.nodeid: item for item in items}
     files = {item.nodeid.partition("::")[0] for item in items}
-    for one in known:
-        item = by_id.get(one.test)
+    for entry in entries:
+        item = by_id.get(entry.test)
         if item is not None:
-            reason = f"{one.cause} ({one.issue})"
+            reason = f"{entry.cause} ({entry.issue})"
             item.add_marker(pytest.mark.xfail(strict=True, reason=reason))
-        elif whole or one.file in files:
+        elif all_collected or entry.file in files:
             raise pytest.UsageError(
-                f"KNOWN-RED.txt names {one.test}, which is not there; take "
-                "the line out or correct it"
+                f"KNOWN-RED.txt lists {entry.test}, which does not exist; "
+                "remove or correct the line"
             )
 
 
--- a/tests/shapes.py
+++ b/tests/shapes.py
@@ -1,4 +1,4 @@
-"""A model and engines of a usual size, for tests of routing and placement."""
+"""A model and engines of typical size, for routing and placement tests."""
 
 from magnoliacove.configuration.routes import Accelerator
 from magnoliacove.configuration.routes import ModelShape
@@ -15,7 +15,7 @@
 
 
 def make_shape(**changes):
-    """Return the shape of a model of 80 layers."""
+    """Return the shape of a model with 80 layers."""
     values = {
         "layers": 80,
         "layer_mb": 1750.0,
@@ -37,7 +37,7 @@
 
 
 def make_option(name, first, end, *, place="a", kind="l4", **changes):
-    """Return an engine that holds some layers."""
+    """Return a stage option: an engine with a range of layers loaded."""
     values = {"room": 1e9, **changes}
     return StageOption(
         name,
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,4 +1,8 @@
-"""Our own days of trouble: well formed, and fit for any site."""
+"""Checks of the fault scenarios in ``deploy/days``.
+
+The files must be well formed, and the project's own scenarios must apply to
+any site.
+"""
 
 import pathlib
 import re
@@ -6,47 +10,50 @@
 
 import pytest
 
-_DAYS = sorted(
+_SCENARIOS = sorted(
     (pathlib.Path(__file__).parents[1] / "deploy" / "days").glob("*.toml")
 )
-# A day that the users gave, kept as they wrote it: for one site, and of one
-# trouble only.
-_GIVEN = {
+# A scenario from the users, kept exactly as they wrote it: it applies to one
+# site and contains a single fault.
+_USERS_SCENARIOS = {
     "deadly": """\
 name = "deadly"
 faults = [{ at = 5.0, kind = "poison", how = "deadly", \
 class = "chapter-summary", share = 0.03, for_s = 20.0 }]
 """
 }
-_OWN = [path for path in _DAYS if path.stem not in _GIVEN]
-# A site's first kind of request, service and data centre.
+_OWN_SCENARIOS = [
+    path for path in _SCENARIOS if path.stem not in _USERS_SCENARIOS
+]
+# Placeholders for a site's first request class, service and data centre.
 _PLACEHOLDERS = {"@c0", "@s0", "@z0"}
-_PLACES = ("service", "class", "zone", "to_zone")
-# Traffic lasts 34 seconds on the shortest days.
-_LAST = 30.0
+_SCOPE_KEYS = ("service", "class", "zone", "to_zone")
+# Seconds; traffic lasts 34 seconds in the shortest scenarios.
+_MAX_INCIDENT_TIME = 30.0
 
 
-def test_there_are_enough_days():
-    assert len(_OWN) >= 8
+def test_there_are_at_least_eight_own_scenarios():
+    assert len(_OWN_SCENARIOS) >= 8
 
 
-@pytest.mark.parametrize("name", _GIVEN)
-def test_a_given_day_stays_as_it_was_given(name):
-    path = next(path for path in _DAYS if path.stem == name)
-    assert path.read_text() == _GIVEN[name]
+@pytest.mark.parametrize("name", _USERS_SCENARIOS)
+def test_a_users_scenario_is_unchanged(name):
+    path = next(path for path in _SCENARIOS if path.stem == name)
+    assert path.read_text() == _USERS_SCENARIOS[name]
 
 
-@pytest.mark.parametrize("path", _OWN, ids=lambda path: path.stem)
-def test_a_day_fits_any_site(path):
+@pytest.mark.parametrize("path", _OWN_SCENARIOS, ids=lambda path: path.stem)
+def test_an_own_scenario_applies_to_any_site(path):
     text = path.read_text()
-    day = tomllib.loads(text)
-    assert day["name"] == path.stem
+    scenario = tomllib.loads(text)
+    assert scenario["name"] == path.stem
     assert text.startswith("# ")
-    troubles = day["plan"] + day["faults"]
-    # In pairs, and at least one kind twice or several at a time.
-    assert len(troubles) >= 3
-    for trouble in troubles:
-        assert 0.0 <= trouble["at"] <= _LAST
-        assert re.fullmatch(r"[a-z_]+", trouble["kind"])
-        places = {trouble[key] for key in _PLACES if key in trouble}
-        assert places <= _PLACEHOLDERS
+    incidents = scenario["plan"] + scenario["faults"]
+    # Incidents come in pairs, and at least one kind occurs twice, or several
+    # occur at a time.
+    assert len(incidents) >= 3
+    for incident in incidents:
+        assert 0.0 <= incident["at"] <= _MAX_INCIDENT_TIME
+        assert re.fullmatch(r"[a-z_]+", incident["kind"])
+        scopes = {incident[key] for key in _SCOPE_KEYS if key in incident}
+        assert scopes <= _PLACEHOLDERS
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""What ``KNOWN-RED.txt`` does to a run of the tests."""
+"""Effect of ``KNOWN-RED.txt`` on a test run."""
 
 import pytest
 
@@ -18,9 +18,12 @@
 
 @pytest.fixture
 def run(pytester, monkeypatch):
-    """Return a function that runs two tests, one red, beside a list."""
+    """Return a function that runs a failing and a passing test.
 
-    def play(*names):
+    Its arguments are the tests that ``KNOWN-RED.txt`` lists.
+    """
+
+    def run_tests(*names):
         listed = pytester.path / "KNOWN-RED.txt"
         listed.write_text("".join(_LINE.format(name) for name in names))
         monkeypatch.setattr(known_red, "KNOWN_RED", listed)
@@ -31,7 +34,7 @@
         )
         return pytester.runpytest_inprocess()
 
-    return play
+    return run_tests
 
 
 def test_a_listed_test_may_fail_and_is_printed(run):
@@ -54,7 +57,7 @@
 
 
 @pytest.mark.parametrize("name", ["test_a.py::test_no", "test_b.py::test_x"])
-def test_a_listed_test_that_is_not_there_fails_the_run(run, name):
+def test_a_listed_test_that_does_not_exist_fails_the_run(run, name):
     result = run("test_a.py::test_red", name)
     assert result.ret == pytest.ExitCode.USAGE_ERROR
 
@@ -63,7 +66,7 @@
     "text",
     ["test_a.py::test_red\n", _LINE.format("a") * 4, "a | b | | d | e | f\n"],
 )
-def test_a_list_that_repeats_itself_or_is_unclear_is_no_list(tmp_path, text):
+def test_a_malformed_list_or_a_repeated_entry_is_an_error(tmp_path, text):
     path = tmp_path / "KNOWN-RED.txt"
     path.write_text(text)
     with pytest.raises(pytest.UsageError):
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines never hold a process up, and their volume is bounded."""
+"""Logging never blocks a process, and its volume is bounded."""
 
 import json
 import os
@@ -35,9 +35,10 @@
     return json.dumps({"n": number, "pad": "x" * 200})
 
 
-def test_a_reader_that_stops_costs_lines_not_time(pipe):
-    """Nobody reads the pipe.  Ten thousand lines are logged; no call
-    waits, and what is lost is told once somebody reads again.
+def test_a_stalled_reader_loses_lines_but_blocks_nothing(pipe):
+    """A blocking write would stall the process while nobody reads the pipe.
+    Ten thousand lines are logged: no call waits, and the number of dropped
+    lines is reported once the pipe is read again.
     """
     reader, descriptor = pipe
     writer = logs.LineWriter(descriptor, burst=1e9, read_time=lambda: 0.0)
@@ -49,17 +50,17 @@
     assert time.monotonic() - began < 2.0
     assert writer.dropped > 0
     lines = []
-    while found := _read_all(reader):
-        lines += found
+    while batch := _read_all(reader):
+        lines += batch
         writer.flush()
     assert lines[0]["n"] == 0
-    told = [x["lines"] for x in lines if x.get("kind") == "log-dropped"]
-    assert told and told[-1] == writer.dropped
+    reported = [x["lines"] for x in lines if x.get("kind") == "log-dropped"]
+    assert reported and reported[-1] == writer.dropped
 
 
 def test_ordinary_lines_are_dropped_first(pipe):
-    """More happens than the budget allows.  Ordinary lines are dropped;
-    those of failures are all there.
+    """Ordinary lines above the budget must not displace those of failures:
+    only ordinary lines are dropped.
     """
     reader, descriptor = pipe
     writer = logs.LineWriter(
@@ -74,22 +75,22 @@
     assert len(kept) <= 30
 
 
-def test_lines_are_never_torn(pipe):
-    """The pipe is full in the middle of a burst.  Each write is taken
-    whole or not at all, so whoever reads meets whole lines only.
+def test_lines_are_never_split(pipe):
+    """A pipe that fills up during a burst could accept part of a line.
+    Each write is atomic, so the reader receives only complete lines.
     """
     reader, descriptor = pipe
     writer = logs.LineWriter(descriptor, burst=1e9, read_time=lambda: 0.0)
     for number in range(2000):
         writer.add(_line(number), keep=True)
-    seen = []
+    received = []
     for _ in range(100):
         writer.flush()
-        seen += [line["n"] for line in _read_all(reader)]
-    assert seen == list(range(2000))
+        received += [line["n"] for line in _read_all(reader)]
+    assert received == list(range(2000))
 
 
-def test_a_closed_pipe_ends_nothing(pipe):
+def test_a_closed_pipe_raises_no_error(pipe):
     reader, descriptor = pipe
     os.close(reader)
     writer = logs.LineWriter(descriptor, read_time=lambda: 0.0)
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of what happened before anybody asked for them."""
+"""Metrics that are updated before the first request for them."""
 
 import pytest
 
@@ -6,9 +6,9 @@
 
 
 @pytest.mark.parametrize("updates", [3, metrics._MAX_PENDING_UPDATES + 3])
-def test_nothing_is_lost_before_the_first_reading(updates):
-    """The library of metrics is loaded with the first reading, seconds after
-    the start.  What callers were answered until then counts all the same.
+def test_updates_before_the_first_request_are_counted(updates):
+    """The metrics library is loaded on the first request for metrics, seconds
+    after the start.  Updates until then are buffered and must be counted.
     """
     meters = metrics.Meters(lambda: {"peers_live": 2.0}, lambda: True)
     for _ in range(updates):
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -1,4 +1,4 @@
-"""Servers forget connections that their callers closed."""
+"""Servers release connections that their callers closed."""
 
 import gc
 
@@ -14,11 +14,11 @@
     return web.Response(200, {})
 
 
-async def test_closed_connections_are_forgotten():
-    """Memory grew by 16 KB for each connection that a caller had closed.
+async def test_closed_connections_are_released():
+    """Guard against memory growth of 16 KB per connection closed by a caller.
 
-    The server keeps a closed connection until its time for idle ones is
-    over; at 120 s and 12 connections a second that was 22 MB.
+    The server keeps a closed connection until the idle time-out expires; at
+    120 s and 12 connections a second that was 22 MB.
     """
     async with trio.open_nursery() as nursery:
         listener = sockets.bind_socket("127.0.0.1", 0)
