--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -52,6 +52,6 @@
     )
 
 
-def list_events(fleet, kind):
+def list_events_of_kind(fleet, kind):
     """Return the events of one kind, in causal order."""
     return fleet.list_events(kind)
