--- a/magnoliacove/agent/key_registry.py
+++ b/magnoliacove/agent/key_registry.py
@@ -204,7 +204,7 @@
         still to come, and the next owner would run it again.
         """
         ahead = ownership.get_seconds_ahead(request.key)
-        if ahead > defaults.KEY_MOST_AHEAD:
+        if ahead > defaults.MAX_KEY_LEAD:
             raise errors.RequestError(
                 "key_from_future",
                 f"the idempotency key was minted by a clock {ahead:.0f} s "
--- a/magnoliacove/agent/process.py
+++ b/magnoliacove/agent/process.py
@@ -149,7 +149,7 @@
         process.recorder.record("draining", why="the instance is stopping")
         leaving = process.describe("leaving")
         process.view.adopt_entries([leaving])
-        process.tell_connected(
+        process.broadcast(
             messages.Instances((directory.write_entry(leaving),))
         )
         with trio.move_on_after(defaults.DRAIN_TIMEOUT) as scope:
@@ -161,7 +161,7 @@
             left=self.load.running,
         )
         process.view.adopt_entries([removed := process.describe("gone")])
-        process.tell_connected(
+        process.broadcast(
             messages.Instances((directory.write_entry(removed),))
         )
         with trio.move_on_after(defaults.STORE_TIMEOUT):
@@ -364,7 +364,7 @@
             await self.process.view.wait_changed()
             leaving = self.is_leaving()
             if leaving != announced:
-                self.process.tell_connected(self._make_pong(0))
+                self.process.broadcast(self._make_pong(0))
             announced = leaving
 
     # Metrics.
--- a/magnoliacove/configuration/journal.py
+++ b/magnoliacove/configuration/journal.py
@@ -132,7 +132,9 @@
                 # writes again.
                 if attempt == _MAX_COMMIT_ATTEMPTS - 1:
                     break
-                await trio.sleep(defaults.STORE_RETRY_FIRST * 2**attempt)
+                await trio.sleep(
+                    defaults.INITIAL_STORE_RETRY_DELAY * 2**attempt
+                )
         raise errors.PlatformError(
             "the platform's object API does not answer; repeat the call "
             f"with the same change id {change_id} once it does",
--- a/magnoliacove/directory/backoff.py
+++ b/magnoliacove/directory/backoff.py
@@ -18,8 +18,8 @@
 
     def __init__(
         self,
-        initial: float = defaults.STORE_RETRY_FIRST,
-        maximum: float = defaults.STORE_RETRY_MOST,
+        initial: float = defaults.INITIAL_STORE_RETRY_DELAY,
+        maximum: float = defaults.MAX_STORE_RETRY_DELAY,
     ) -> None:
         self._initial = initial
         self._maximum = maximum
--- a/magnoliacove/entry/openai.py
+++ b/magnoliacove/entry/openai.py
@@ -60,7 +60,7 @@
 
 def _read_max_tokens(value: Any) -> int:
     if value is None:
-        return defaults.MAX_TOKENS
+        return defaults.DEFAULT_MAX_TOKENS
     limit = defaults.MAX_TOKENS_LIMIT
     if isinstance(value, bool) or not isinstance(value, int):
         raise _make_invalid("'max_tokens' must be a whole number")
--- a/magnoliacove/entry/pipelines.py
+++ b/magnoliacove/entry/pipelines.py
@@ -88,7 +88,12 @@
                 parts.append(text)
 
             request = openai.ModelRequest(
-                service.name, value, defaults.MAX_TOKENS, False, False, False
+                service.name,
+                value,
+                defaults.DEFAULT_MAX_TOKENS,
+                False,
+                False,
+                False,
             )
             await self._runner.run_model(
                 request_id, account, service, request, emit
--- a/magnoliacove/wire/connection.py
+++ b/magnoliacove/wire/connection.py
@@ -31,7 +31,7 @@
 # The most seconds between two checks for an unresponsive peer.
 _MAX_CHECK_INTERVAL = 1.0
 # Seconds after a heartbeat within which something must arrive.
-_ANSWER_TIMEOUT = defaults.SILENCE_TIMEOUT - defaults.PING_AFTER
+_ANSWER_TIMEOUT = defaults.SILENCE_TIMEOUT - defaults.MIN_HEARTBEAT_INTERVAL
 _CONNECTION_ERRORS = (
     errors.PeerError,
     errors.ProtocolError,
@@ -59,7 +59,7 @@
         hello: Callable[[], messages.Hello],
         *,
         get_heartbeat_interval: Callable[[bool], float] = lambda _: (
-            defaults.PING_AFTER
+            defaults.MIN_HEARTBEAT_INTERVAL
         ),
         make_pong: Callable[[int], messages.Pong] | None = None,
     ) -> None:
@@ -289,9 +289,13 @@
         waiting for it and is checked often.  At that interval, the many
         idle connections of a large fleet would exceed the control budget.
         """
-        active = trio.current_time() - self._last_posted < defaults.ACTIVE_FOR
+        active = (
+            trio.current_time() - self._last_posted
+            < defaults.CONNECTION_ACTIVE_WINDOW
+        )
         return max(
-            defaults.PING_AFTER, self._choose_heartbeat_interval(active)
+            defaults.MIN_HEARTBEAT_INTERVAL,
+            self._choose_heartbeat_interval(active),
         )
 
     async def probe(self, timeout: float) -> bool:
