--- a/magnoliacove/gateway/__init__.py
+++ b/magnoliacove/gateway/__init__.py
@@ -1,7 +1,7 @@
-"""The gateway: callers' HTTP requests to targets that pass work along.
+"""The gateway: forwards callers' HTTP requests to targets.
 
-Model engines hand a request to each other by themselves, so the gateway
-names the whole path and sends the request to its first engine.
+Model engines pass a request on to each other, so the gateway sends the whole
+path along with the request to the first engine.
 """
 
 from magnoliacove.gateway.process import Gateway
--- a/magnoliacove/gateway/callers.py
+++ b/magnoliacove/gateway/callers.py
@@ -1,9 +1,9 @@
-"""Callers' connections: reading requests, writing answers.
+"""Callers' connections: reading requests and writing answers.
 
-The server that the other interface runs on closes a connection without
-telling whether a request on it was already taken, and shows a caller's
-leaving only between two reads of a body.  Both matter here, so the parser
-beneath it, h11, is used directly.
+The server of the other interface closes a connection without reporting whether
+a request on it was already accepted, and reports that a caller disconnected
+only between two reads of a body.  The gateway needs both, so it uses the
+server's parser, h11, directly.
 """
 
 from collections.abc import Awaitable
@@ -23,24 +23,27 @@
 Headers = Sequence[tuple[bytes, bytes]]
 
 _READ_SIZE = 65536
-# Bytes of further requests that are kept while one is answered.
-_MOST_AHEAD = 65536
-# How long a caller may leave an answer unread before it is given up.
+# Bytes of further requests that are buffered while one is answered.
+_MAX_PIPELINED = 65536
+# Seconds that a write to a caller may take before the connection counts as
+# broken.
 _WRITE_TIMEOUT = 10.0
-# How long the end of a refused request is read, so that closing does not
-# reset the connection before the refusal has been read.
-_LINGER = 1.0
-_UNSENT_TIMEOUT_MS = 5000
-_CONTINUE = 100
+# Seconds to read on before closing a connection, so that a reset does not
+# discard an answer that the caller has not read yet.
+_LINGER_TIMEOUT = 1.0
+# Milliseconds that sent data may stay unacknowledged before the connection
+# breaks.
+_UNACKNOWLEDGED_TIMEOUT_MS = 5000
+_CONTINUE_STATUS = 100
 
 
 @dataclass(frozen=True)
 class Request:
-    """One request of a caller, read whole.
+    """A request of a caller with its whole body.
 
     :param target: the path and the query, as sent.
     :param headers: names in lower case.
-    :param arrived: by trio's clock, when its first line was in.
+    :param arrived: when the head was complete, by trio's clock.
     """
 
     method: bytes
@@ -51,7 +54,7 @@
 
     @property
     def host(self) -> str:
-        """The host that the caller named, without a port."""
+        """The value of the host header without a port."""
         value = dict(self.headers).get(b"host", b"").decode("latin-1")
         return value.rpartition(":")[0] if ":" in value else value
 
@@ -62,10 +65,9 @@
 
 
 class Exchange:
-    """One request and its answer.
+    """A request and its answer.
 
-    :param request: the request.
-    :param started: whether the status is out.
+    :param started: whether the answer has been started.
     """
 
     def __init__(
@@ -83,7 +85,10 @@
         self._written_at = request.arrived
 
     def read_silence(self) -> float:
-        """Return the seconds since the caller was sent something."""
+        """Return the seconds since a part of the body was last sent.
+
+        :returns: the seconds since the request arrived before the first part.
+        """
         return trio.current_time() - self._written_at
 
     async def start(self, status: int, headers: Headers) -> None:
@@ -97,11 +102,11 @@
         self._written_at = trio.current_time()
 
     async def end(self) -> None:
-        """Send the end of the body, which says that it is whole."""
+        """Send the end of the body, which marks the answer as complete."""
         await self._send(self._parser.send(h11.EndOfMessage()) or b"")
 
     async def answer(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a whole answer at once."""
+        """Send a whole answer."""
         self.started = True
         kept = [(n, v) for n, v in headers if n != b"content-length"]
         length = (b"content-length", b"%d" % len(body))
@@ -125,13 +130,13 @@
 
 
 class CallerConnection:
-    """Serves one caller's connection, request after request.
+    """Serves the requests on one caller's connection in sequence.
 
-    :param read_limits: returns the limits that are in force.
-    :param handle: answers one request; cancelled when the caller leaves.
-    :param is_leaving: whether this process is about to stop.
-    :param is_closing: whether what comes now could no longer be answered
-        before it stops.
+    :param read_limits: returns the limits in force.
+    :param handle: answers one request; cancelled when the caller disconnects.
+    :param is_leaving: returns whether this process is about to stop.
+    :param is_closing: returns whether a request that arrives now could no
+        longer be answered before the process stops.
     """
 
     def __init__(
@@ -160,27 +165,29 @@
             self._scope.cancel()
 
     async def run(self) -> None:
-        """Serve until the caller or this process closes."""
+        """Serve until the caller or this process closes the connection."""
         self._stream.setsockopt(
-            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _UNSENT_TIMEOUT_MS
+            socket.IPPROTO_TCP,
+            socket.TCP_USER_TIMEOUT,
+            _UNACKNOWLEDGED_TIMEOUT_MS,
         )
         try:
             with self._scope:
-                while await self._serve_one():
+                while await self._serve_request():
                     continue
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            # The caller is gone; there is nobody left to tell.
+            # The caller disconnected, so the error cannot be reported to it.
             pass
         finally:
             with trio.CancelScope(shield=True, deadline=0):
                 await trio.aclose_forcefully(self._stream)
 
-    async def _serve_one(self) -> bool:
+    async def _serve_request(self) -> bool:
         """Serve one request; return whether another may follow."""
         try:
             request = await self._read_request()
-        except h11.RemoteProtocolError as why:
-            await self._refuse(why.error_status_hint)
+        except h11.RemoteProtocolError as exc:
+            await self._refuse(exc.error_status_hint)
             return False
         except _TooLargeError:
             await self._refuse(413)
@@ -194,10 +201,10 @@
             return False
         self.busy = False
         if self._parser.our_state is not h11.DONE or self._is_closing():
-            # An answer that began before the stop did not tell the caller
-            # that the connection would close.  Its next request follows at
-            # once, and would be cut off in the middle when the grace time
-            # ends; one that meets a closed connection goes elsewhere.
+            # An answer that began before the stop did not announce that the
+            # connection would close.  The caller's next request follows at
+            # once, and would be cut off in the middle at the end of the grace
+            # period.  On a closed connection the caller uses another gateway.
             await self._linger()
             return False
         if self._parser.their_state is not h11.DONE:
@@ -206,13 +213,13 @@
         return True
 
     async def _answer(self, exchange: Exchange) -> bool:
-        """Let the handler answer; return whether it answered in full."""
-        left = False
+        """Call the handler; return whether it sent a complete answer."""
+        disconnected = False
 
         async def watch(scope: trio.CancelScope) -> None:
-            nonlocal left
-            await self._wait_left()
-            left = True
+            nonlocal disconnected
+            await self._wait_disconnect()
+            disconnected = True
             scope.cancel()
 
         async with trio.open_nursery() as nursery:
@@ -220,16 +227,16 @@
             try:
                 await self._handle(exchange)
             except (trio.BrokenResourceError, trio.ClosedResourceError):
-                # Writing found out first that the caller is gone.
-                left = True
+                # The write detected first that the caller disconnected.
+                disconnected = True
             nursery.cancel_scope.cancel()
-        if left:
+        if disconnected:
             return False
         return self._parser.our_state in (h11.DONE, h11.MUST_CLOSE)
 
-    async def _wait_left(self) -> None:
-        """Return once the caller has closed its end."""
-        ahead = 0
+    async def _wait_disconnect(self) -> None:
+        """Return once the caller has closed its end of the connection."""
+        pipelined = 0
         while True:
             try:
                 data = await self._stream.receive_some(_READ_SIZE)
@@ -239,12 +246,12 @@
                 return
             # A further request, sent without waiting for this answer.
             self._parser.receive_data(data)
-            ahead += len(data)
-            if ahead > _MOST_AHEAD:
+            pipelined += len(data)
+            if pipelined > _MAX_PIPELINED:
                 await trio.sleep_forever()
 
     async def _read_request(self) -> Request | None:
-        """Return the next request, or None when there is none."""
+        """Return the next request, or None at the end of the connection."""
         limits = self._read_limits()
         head: h11.Request | None = None
         body = bytearray()
@@ -288,23 +295,25 @@
                 return None
 
     async def _receive(self, deadline: float) -> bytes | None:
-        """Return what arrives, b"" at the end, None when nothing does."""
+        """Return the next data, b"" at the end, or None on a timeout."""
         with trio.move_on_at(deadline):
             return bytes(await self._stream.receive_some(_READ_SIZE))
         return None
 
     async def _send_continue(self) -> None:
-        response = h11.InformationalResponse(status_code=_CONTINUE, headers=[])
+        response = h11.InformationalResponse(
+            status_code=_CONTINUE_STATUS, headers=[]
+        )
         await self._write(self._parser.send(response) or b"")
 
     async def _write(self, data: bytes) -> None:
         with trio.move_on_after(_WRITE_TIMEOUT) as scope:
             await self._stream.send_all(data)
         if scope.cancelled_caught:
-            raise trio.BrokenResourceError("the caller does not read")
+            raise trio.BrokenResourceError("the write to the caller timed out")
 
     async def _refuse(self, status: int) -> None:
-        """Answer what is no proper request, and close."""
+        """Answer an invalid request and close the connection."""
         if self._parser.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
         response = h11.Response(
@@ -318,8 +327,8 @@
         await self._linger()
 
     async def _linger(self) -> None:
-        """Close our end and read on for a moment."""
-        with trio.move_on_after(_LINGER):
+        """Close our end and read on briefly."""
+        with trio.move_on_after(_LINGER_TIMEOUT):
             await self._stream.send_eof()
             while await self._stream.receive_some(_READ_SIZE):
                 continue
--- a/magnoliacove/gateway/calls.py
+++ b/magnoliacove/gateway/calls.py
@@ -1,4 +1,4 @@
-"""One request to a plain service: tried, repeated where that is right."""
+"""Requests to plain services, with retries and hedging."""
 
 from dataclasses import dataclass
 
@@ -15,53 +15,56 @@
 from magnoliacove.gateway.exchanges import read_answer
 from magnoliacove.gateway.exchanges import send_request
 from magnoliacove.gateway.requests import RoutedRequest
+from magnoliacove.gateway.requests import make_targets_limited
 from magnoliacove.gateway.requests import make_timeout
-from magnoliacove.gateway.requests import make_unwanted
 from magnoliacove.gateway.state import GatewayState
 from magnoliacove.platform import headers
 
 __all__ = ["PlainCall"]
 
-# Targets that refused without running a request may be followed by others,
-# up to so many in all; a service that refuses three times is full.
-_MOST_REFUSALS = 3
-# A request that may be repeated is run so often at most.  Once as many targets
-# ran it as its route allows it goes back to one of these: where some of the
-# runs fail by chance, four leave hardly a request without an answer, and three
-# failed ones still leave time within the objective.
-_MOST_RUNS = 4
-# A second target is asked when the first took this many times its usual,
-# and at least this part of the latency objective.
-_HEDGE_TIMES = 4.0
-_HEDGE_OBJECTIVE = 0.4
+# Maximum number of targets that refuse a request without running it.  After
+# three refusals the service has no capacity.
+_MAX_REFUSALS = 3
+# Maximum number of runs of a repeatable request.  Once the request has run on
+# as many targets as its route allows, it returns to one of these.  Where some
+# of the runs fail at random, four runs leave hardly any request without an
+# answer, and three failed ones still leave time within the latency objective.
+_MAX_RUNS = 4
+# A request is hedged, that is, also sent to a second target, when the first
+# one takes longer than this multiple of its usual time and than this fraction
+# of the latency objective.
+_HEDGE_FACTOR = 4.0
+_HEDGE_OBJECTIVE_FRACTION = 0.4
+# Seconds after which a refused caller may retry.
 _RETRY_AFTER = 0.5
-_PROMISES = (408, 421, 429, 503)
+# Statuses that callers take to mean that the request did not run.
+_NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
 @dataclass(frozen=True)
 class _Result:
-    """How one try at a target ended: a whole answer, or an error."""
+    """The result of one attempt at a target: a whole answer or an error."""
 
     target: ListedTarget
     answer: Answer | None = None
     body: bytes = b""
-    marks: headers.AnswerMarks | None = None
+    decoded: headers.AnswerMarks | None = None
     error: TargetError | None = None
 
     @property
     def not_run(self) -> bool:
-        """Whether the target surely did not run the request."""
+        """Whether the target certainly did not run the request."""
         if self.error is not None:
             return self.error.outcome is errors.Outcome.NOT_RUN
-        return self.marks is not None and self.marks.not_run
+        return self.decoded is not None and self.decoded.not_run
 
     @property
     def final(self) -> bool:
-        """Whether it is an answer that no other target would better."""
-        answer, marks = self.answer, self.marks
-        if answer is None or marks is None or marks.not_run:
+        """Whether the answer is forwarded without trying another target."""
+        answer, decoded = self.answer, self.decoded
+        if answer is None or decoded is None or decoded.not_run:
             return False
-        return marks.stamped and answer.status < 500
+        return decoded.stamped and answer.status < 500
 
 
 class PlainCall:
@@ -79,30 +82,30 @@
         self._exchange = exchange
         self._routed = routed
         self._tried: list[str] = []
-        # Targets that ran it or may have, one entry a run, and those that
-        # are working on it now.
+        # Targets that may have run the request, one entry for each run, and
+        # targets that are processing it now.
         self._ran: list[str] = []
         self._working: set[str] = set()
 
     async def run(self) -> None:
         """Answer the request.
 
-        :raises magnoliacove.errors.RequestError: when no answer comes.
+        :raises magnoliacove.errors.RequestError: when there is no answer.
         """
         result: _Result | None = None
         with trio.move_on_at(self._routed.deadline):
             result = await self._find_answer()
         if result is None:
             raise make_timeout(bool(self._ran or self._working))
-        await self._pass_on(result)
+        await self._forward(result)
 
     async def _find_answer(self) -> _Result:
-        """Return the answer to pass on, after as many tries as it takes."""
+        """Send the request, with retries, and return the result to forward."""
         send, receive = trio.open_memory_channel[_Result](8)
         result: _Result | None = None
         async with trio.open_nursery() as nursery:
-            going = self._start(nursery, send)
-            while going:
+            in_progress = self._start(nursery, send)
+            while in_progress:
                 result = await self._wait_result(nursery, send, receive)
                 self._working.discard(result.target.name)
                 if not result.not_run:
@@ -112,18 +115,18 @@
                 started = self._may_repeat(result) and self._start(
                     nursery, send
                 )
-                going = started or bool(self._working)
+                in_progress = started or bool(self._working)
             nursery.cancel_scope.cancel()
         if result is None:
             raise self._make_refusal()
         return result
 
     def _make_refusal(self) -> errors.RequestError:
-        """Return the refusal of a request that no target may be sent."""
+        """Return the error for a request that cannot be sent to any target."""
         service = self._routed.service.name
         wait = self._state.candidates.read_wait(service)
         if wait > 0.0:
-            return make_unwanted(service, wait)
+            return make_targets_limited(service, wait)
         return errors.RequestError(
             "no_target",
             f"no target serves {service} now; the request did not run",
@@ -136,12 +139,13 @@
         send: "trio.MemorySendChannel[_Result]",
         receive: "trio.MemoryReceiveChannel[_Result]",
     ) -> _Result:
-        """Return the next result; ask a second target when it takes long."""
+        """Return the next result; hedge the request if it takes too long."""
         if self._may_run_again(self._routed.route.max_attempts):
             record = self._state.candidates.read_record(self._tried[-1])
             objective = self._routed.route.latency_objective
             delay = max(
-                record.seconds * _HEDGE_TIMES, objective * _HEDGE_OBJECTIVE
+                record.seconds * _HEDGE_FACTOR,
+                objective * _HEDGE_OBJECTIVE_FRACTION,
             )
             with trio.move_on_after(delay):
                 return await receive.receive()
@@ -149,24 +153,25 @@
                 self._start(nursery, send)
         return await receive.receive()
 
-    def _may_run_again(self, most: int) -> bool:
-        """Return whether one more run may be begun, up to so many in all."""
+    def _may_run_again(self, max_runs: int) -> bool:
+        """Return whether one more run may start, of `max_runs` in all."""
         runs = len(self._ran) + len(self._working)
-        if not self._routed.route.repeatable or runs >= most:
+        if not self._routed.route.repeatable or runs >= max_runs:
             return False
         return self._state.may_repeat(self._routed.fingerprint)
 
     def _may_repeat(self, result: _Result) -> bool:
-        """Return whether another target may be tried after this result."""
+        """Return whether the request may be tried again after a result."""
         state, routed = self._state, self._routed
-        self._note_failure(result)
+        self._record_failure(result)
         if result.not_run:
-            if len(self._tried) >= _MOST_REFUSALS + len(self._ran):
+            if len(self._tried) >= _MAX_REFUSALS + len(self._ran):
                 return False
-        elif not self._may_run_again(_MOST_RUNS):
+        elif not self._may_run_again(_MAX_RUNS):
             return False
         if result.error is not None and result.not_run:
-            # Nothing arrived anywhere, so it counts as no repeat.
+            # The request reached no target, so this is not a repeat and
+            # needs no retry budget.
             return True
         return state.budget.try_spend(routed.service.name)
 
@@ -175,7 +180,7 @@
         nursery: trio.Nursery,
         send: "trio.MemorySendChannel[_Result]",
     ) -> bool:
-        """Begin a try at the best target; return False when there is none."""
+        """Start an attempt at the best target; return False without one."""
         routed = self._routed
         target = self._choose_target()
         if target is None:
@@ -185,7 +190,7 @@
         self._working.add(target.name)
         self._state.recorder.record(
             "call-sent",
-            request=routed.marks.request,
+            request=routed.caller_headers.request,
             target=target.name,
             number=len(self._tried),
             running=self._state.loads.read(target.name).requests,
@@ -200,7 +205,7 @@
         return True
 
     def _choose_target(self) -> ListedTarget | None:
-        """Return a new target, or one that ran the request before."""
+        """Return an untried target, or else one that ran the request."""
         candidates, service = self._state.candidates, self._routed.service
         runners = set(self._ran) | self._working
         if len(runners) < self._routed.route.max_attempts:
@@ -219,9 +224,9 @@
         reservation = state.loads.reserve_target(target.name)
         try:
             result = await self._exchange_with(target)
-        except TargetError as why:
-            result = _Result(target, error=why)
-            if why.outcome is not errors.Outcome.NOT_RUN:
+        except TargetError as exc:
+            result = _Result(target, error=exc)
+            if exc.outcome is not errors.Outcome.NOT_RUN:
                 self._crashes.note_broken(
                     target, self._routed, trio.current_time() - began
                 )
@@ -237,28 +242,31 @@
 
     async def _exchange_with(self, target: ListedTarget) -> _Result:
         state, routed = self._state, self._routed
-        # On a used connection a request may meet its closing, and whether
-        # it ran is then unknown; one that may not run again gets its own.
+        # The target may close a reused connection just as the request is sent,
+        # and then it is unknown whether the request ran.  A request that is
+        # not repeatable gets a new connection.
         fresh = not routed.route.repeatable
         async with state.pool.use(target, fresh=fresh) as channel:
             await send_request(
-                channel, target, routed, routed.marks.last_event
+                channel, target, routed, routed.caller_headers.last_event
             )
             return await self._read_answer(target, channel)
 
     async def _read_answer(
         self, target: ListedTarget, channel: Channel
     ) -> _Result:
-        answer, marks = await read_answer(channel, self._routed.marks.request)
-        body = await channel.read_rest()
-        if answer.status < 300 and not is_genuine(answer, marks):
+        answer, decoded = await read_answer(
+            channel, self._routed.caller_headers.request
+        )
+        body = await channel.read_whole_body()
+        if answer.status < 300 and not is_genuine(answer, decoded):
             raise TargetError(
                 "the answer is not one of the service's targets",
                 errors.Outcome.MAY_HAVE_RUN,
             )
-        return _Result(target, answer, body, marks)
+        return _Result(target, answer, body, decoded)
 
-    def _note_failure(self, result: _Result) -> None:
+    def _record_failure(self, result: _Result) -> None:
         state, why = self._state, ""
         if result.error is not None:
             why = str(result.error)
@@ -266,7 +274,7 @@
             why = f"it answered {result.answer.status}"
         state.recorder.record(
             "call-failed",
-            request=self._routed.marks.request,
+            request=self._routed.caller_headers.request,
             target=result.target.name,
             why=why,
             outcome=errors.Outcome.NOT_RUN
@@ -274,23 +282,29 @@
             else errors.Outcome.MAY_HAVE_RUN,
         )
         unreachable = result.error is not None and result.not_run
-        moved = result.answer is not None and result.answer.status == 421
-        if unreachable or moved:
+        misdirected = result.answer is not None and result.answer.status == 421
+        if unreachable or misdirected:
             state.health.suspect(result.target.name, why)
 
-    async def _pass_on(self, result: _Result) -> None:
-        """Send the answer on, or say what is known of the request."""
-        answer, marks = result.answer, result.marks
+    async def _forward(self, result: _Result) -> None:
+        """Forward the answer of the last result.
+
+        :raises magnoliacove.errors.RequestError: when the result is an error
+            or an answer that must not be forwarded.
+        """
+        answer, decoded = result.answer, result.decoded
         if result.not_run and not self._ran:
             raise errors.RequestError(
                 "refused",
                 "every target that was asked refused; the request did not run",
                 retry_after=_RETRY_AFTER,
             )
-        unproven = answer is None or marks is None or not marks.stamped
-        # Callers read these as "did not run"; this one may have.
-        promise = answer is not None and answer.status in _PROMISES
-        if answer is None or unproven or promise or result.not_run:
+        unproven = answer is None or decoded is None or not decoded.stamped
+        # Callers would conclude that the request did not run, but it may have.
+        implies_not_run = (
+            answer is not None and answer.status in _NOT_RUN_STATUSES
+        )
+        if answer is None or unproven or implies_not_run or result.not_run:
             raise errors.RequestError(
                 "target_failed",
                 "the target gave no whole answer; the request may have run",
@@ -299,7 +313,7 @@
             )
         self._state.recorder.record(
             "request-answered",
-            request=self._routed.marks.request,
+            request=self._routed.caller_headers.request,
             target=result.target.name,
             status=answer.status,
             seconds=round(
--- a/magnoliacove/gateway/channels.py
+++ b/magnoliacove/gateway/channels.py
@@ -1,9 +1,9 @@
-"""A connection to a target, one HTTP request at a time on it.
+"""HTTP connections to targets, with one request at a time on each.
 
-The parser is h11 itself: the pool of the usual client closes a connection
-on which a stray answer lies, and with it the answer behind that one, and
-does not tell a connection that broke before anything was sent from one
-that broke afterwards.
+The parser is h11.  The connection pool of the usual HTTP client closes a
+connection with an unread stray answer, and thereby loses the answer that
+follows it.  It also does not distinguish a connection that broke before
+anything was sent from one that broke afterwards.
 """
 
 from collections.abc import Callable
@@ -16,26 +16,27 @@
 
 from magnoliacove import errors
 
-__all__ = ["Answer", "Channel", "Hear", "TargetError"]
+__all__ = ["Answer", "Channel", "AnswerListener", "TargetError"]
 
 Headers = Sequence[tuple[bytes, bytes]]
 
-# Idle connections are used again for so long, or as long as the target
-# says, less a margin for what is on its way.
-KEEP_IDLE = 8.0
-_KEEP_MARGIN = 1.0
+# Seconds for which an idle connection may be reused, unless the target
+# announces less; the margin, in seconds, allows for the time in transit.
+_MAX_IDLE = 8.0
+_IDLE_MARGIN = 1.0
 _READ_SIZE = 65536
-# Bodies up to this size fit the socket's buffer and need no second task.
+# Bytes of a request that fit into the socket's buffer, so that it is sent
+# without a second task.
 _SMALL_BODY = 8192
-_MOST_STRAY_ANSWERS = 3
+_MAX_STRAY_ANSWERS = 3
 
 
 class TargetError(errors.Error):
     """A target gave no whole answer.
 
     :param outcome: whether the request may have run.
-    :param refused: its instance answered that nobody listens there, which
-        says that its process is gone.
+    :param refused: whether the instance refused the connection, which means
+        that the target's process has ended.
     """
 
     def __init__(
@@ -58,39 +59,43 @@
     headers: tuple[tuple[bytes, bytes], ...]
 
 
-# Told of each answer: the target that gave it, its head, the path that was
-# asked for, and the id of the caller's request, "" for a question of our own.
-Hear = Callable[[str, Answer, str, str], None]
+# Called for each answer with the target's name, the head of the answer, the
+# requested path, and the id of the caller's request, or "" for a request of
+# the gateway itself.
+AnswerListener = Callable[[str, Answer, str, str], None]
 
 
 class Channel:
-    """One connection to one target."""
+    """A connection to a target.
+
+    :param on_answer: called for each answer.
+    """
 
     def __init__(
         self,
         target: str,
         stream: trio.SocketStream,
         start_soon: Callable[..., object],
-        hear: Hear,
+        on_answer: AnswerListener,
     ) -> None:
         self.target = target
         self.used = False
         self.idle_until = 0.0
         self._stream = stream
         self._start_soon = start_soon
-        self._hear = hear
+        self._on_answer = on_answer
         self._sending = False
         self._parser = h11.Connection(h11.CLIENT)
         self._request: h11.Request | None = None
-        self._keep = KEEP_IDLE
+        self._idle_timeout = _MAX_IDLE
         self._reusable = True
 
     @property
-    def is_quiet(self) -> bool:
-        """Whether nothing arrived since the last answer.
+    def has_no_input(self) -> bool:
+        """Whether nothing has arrived since the last answer.
 
-        An idle connection on which something lies was closed by the
-        target, or holds bytes that belong to no request.
+        If something has, the target closed the idle connection or sent bytes
+        that belong to no request.
         """
         poll = select.poll()
         poll.register(self._stream.socket.fileno(), select.POLLIN)
@@ -109,12 +114,12 @@
         self._request = h11.Request(
             method=method, target=target, headers=list(headers)
         )
-        data = self._write_request(body)
+        data = self._encode_request(body)
         if len(data) <= _SMALL_BODY:
             await self._send_all(data)
             return
-        # A target may answer before it has read a long body, and stop
-        # reading meanwhile.  Sending beside reading the answer cannot hang.
+        # A target may stop reading a long body and answer early.  Sending
+        # concurrently with reading the answer cannot deadlock.
         self._sending = True
         self._start_soon(self._send_long, data)
 
@@ -123,17 +128,19 @@
     ) -> Answer:
         """Return the head of the answer to the request that was sent.
 
-        Answers to other requests are skipped: a target may send one more
+        Answers to other requests are skipped: a target may send a second
         answer to an earlier request.
 
         :param request: the id of the request.
-        :param read_id: returns the id that an answer names, or "".
-        :raises TargetError: when no answer comes.
+        :param read_id: returns the request id of an answer, or "".
+        :raises TargetError: when there is no answer.
         """
-        for _ in range(_MOST_STRAY_ANSWERS):
+        for _ in range(_MAX_STRAY_ANSWERS):
             answer = await self._read_head()
             if read_id(answer) in ("", request):
-                self._hear(self.target, answer, self._read_path(), request)
+                self._on_answer(
+                    self.target, answer, self._read_path(), request
+                )
                 return answer
             await self._skip_answer()
         raise TargetError(
@@ -142,7 +149,7 @@
         )
 
     async def read_body(self) -> bytes | None:
-        """Return the next part of the body, or None at its proper end.
+        """Return the next part of the body, or None at its end.
 
         :raises TargetError: when the answer breaks off.
         """
@@ -153,8 +160,8 @@
             if isinstance(event, h11.EndOfMessage):
                 return None
 
-    async def read_rest(self) -> bytes:
-        """Return the body up to its proper end.
+    async def read_whole_body(self) -> bytes:
+        """Return the whole body.
 
         :raises TargetError: when the answer breaks off.
         """
@@ -169,10 +176,10 @@
         await trio.aclose_forcefully(self._stream)
 
     def finish(self, now: float) -> bool:
-        """End an exchange; return whether the connection may be kept."""
+        """End an exchange; return whether the connection may be reused."""
         parser = self._parser
-        # While the rest of a long body is due, the target would take the
-        # next request for it, so such a connection is never kept.
+        # While a part of a long body is still unsent, the target would read
+        # the next request as that part, so the connection is not reused.
         clean = (
             self._reusable
             and not self._sending
@@ -180,15 +187,15 @@
             and parser.their_state is h11.DONE
             and not parser.trailing_data[0]
         )
-        self.idle_until = now + self._keep
-        return clean and self._keep > 0
+        self.idle_until = now + self._idle_timeout
+        return clean and self._idle_timeout > 0
 
     def _read_path(self) -> str:
         """Return the path of the request that was sent, without its query."""
         target = self._request.target if self._request is not None else b""
         return bytes(target).partition(b"?")[0].decode("latin-1")
 
-    def _write_request(self, body: bytes) -> bytes:
+    def _encode_request(self, body: bytes) -> bytes:
         request = self._request
         if request is None:
             return b""
@@ -201,18 +208,18 @@
     async def _send_all(self, data: bytes) -> None:
         try:
             await self._stream.send_all(data)
-        except (trio.BrokenResourceError, trio.ClosedResourceError) as why:
+        except (trio.BrokenResourceError, trio.ClosedResourceError) as exc:
             raise TargetError(
                 "the connection broke while the request was sent",
                 errors.Outcome.MAY_HAVE_RUN,
-            ) from why
+            ) from exc
 
     async def _send_long(self, data: bytes) -> None:
         try:
             await self._send_all(data)
         except TargetError:
-            # Whoever reads the answer meets the broken connection too and
-            # tells; this only keeps it from being used again.
+            # The task that reads the answer reports the broken connection;
+            # here it is only marked as not reusable.
             self._reusable = False
         self._sending = False
 
@@ -221,11 +228,11 @@
             event = await self._next_event()
             if isinstance(event, h11.Response):
                 headers = tuple((bytes(n), bytes(v)) for n, v in event.headers)
-                self._note_keep_alive(headers)
+                self._read_keep_alive(headers)
                 return Answer(event.status_code, headers)
 
     async def _skip_answer(self) -> None:
-        """Read a stray answer to its end and await the next one."""
+        """Read a stray answer to its end and prepare for the next one."""
         while await self.read_body() is not None:
             continue
         rest, closed = self._parser.trailing_data
@@ -235,8 +242,8 @@
                 "the target closed after a stray answer",
                 errors.Outcome.MAY_HAVE_RUN,
             )
-        # The parser pairs each answer with a request.  A new one that
-        # takes the request for sent reads the answer that is due.
+        # The parser pairs each answer with a request.  A new parser, to which
+        # the request counts as sent, reads the answer that is due.
         self._parser = h11.Connection(h11.CLIENT)
         self._parser.send(
             h11.Request(
@@ -262,15 +269,15 @@
                 self._parser.receive_data(
                     await self._stream.receive_some(_READ_SIZE)
                 )
-        except h11.RemoteProtocolError as why:
+        except h11.RemoteProtocolError as exc:
             raise TargetError(
-                f"the target sent no proper answer: {why}",
+                f"the target sent no proper answer: {exc}",
                 errors.Outcome.MAY_HAVE_RUN,
-            ) from why
-        except (trio.BrokenResourceError, trio.ClosedResourceError) as why:
+            ) from exc
+        except (trio.BrokenResourceError, trio.ClosedResourceError) as exc:
             raise TargetError(
                 "the connection was reset", errors.Outcome.MAY_HAVE_RUN
-            ) from why
+            ) from exc
         if isinstance(event, h11.ConnectionClosed) or event is h11.PAUSED:
             raise TargetError(
                 "the target closed the connection without an answer",
@@ -278,11 +285,13 @@
             )
         return event
 
-    def _note_keep_alive(self, headers: Headers) -> None:
+    def _read_keep_alive(self, headers: Headers) -> None:
         for name, value in headers:
             if name != b"keep-alive":
                 continue
             for part in value.split(b","):
                 key, _, seconds = part.strip().partition(b"=")
                 if key.lower() == b"timeout" and seconds.isdigit():
-                    self._keep = min(KEEP_IDLE, int(seconds) - _KEEP_MARGIN)
+                    self._idle_timeout = min(
+                        _MAX_IDLE, int(seconds) - _IDLE_MARGIN
+                    )
--- a/magnoliacove/gateway/crashes.py
+++ b/magnoliacove/gateway/crashes.py
@@ -124,7 +124,7 @@
         """
         run = CrashedRun(
             routed.fingerprint,
-            zlib.crc32(routed.marks.request.encode()),
+            zlib.crc32(routed.caller_headers.request.encode()),
             target.name,
             seconds,
         )
--- a/magnoliacove/gateway/delivery.py
+++ b/magnoliacove/gateway/delivery.py
@@ -1,7 +1,7 @@
-"""Passing one stream's events on to the caller: whole, in order, once.
+"""Delivery of a stream's events to the caller: whole, in order, once each.
 
-The events may come from several runs on several paths; the caller sees one
-answer, with the headers of the first run.
+The events may come from several runs on several paths.  The caller receives
+one answer, with the headers of the first run.
 """
 
 from collections.abc import Awaitable
@@ -18,134 +18,142 @@
 
 
 class BrokenRunError(Exception):
-    """A run on one path gave no whole stream.
+    """A run on one path did not produce a whole stream.
 
     :param ran: whether the request may have run.
-    :param answer: an engine's own failure, to be passed on at the end.
+    :param answer: an engine's error answer, forwarded to the caller when no
+        other path is tried.
     """
 
     def __init__(
         self,
-        why: str,
+        reason: str,
         ran: bool,
         answer: Answer | None = None,
         body: bytes = b"",
     ) -> None:
-        super().__init__(why)
-        self.why = why
+        super().__init__(reason)
+        self.reason = reason
         self.ran = ran
         self.answer = answer
         self.body = body
 
 
 class EventDelivery:
-    """The caller's end of one stream.
+    """Writes the events of one stream to its caller.
 
-    :param last_event: the last event that the caller has, or "".
-    :param written: called after each write.
-    :param longest_gap: seconds, the longest from one event that the caller
-        was sent to the next.
+    :param last_event: the id of the last event that the caller has, or "".
+    :param on_write: called after each write.
+    :param longest_gap: seconds of the longest interval between two writes of
+        events to the caller.
     """
 
     def __init__(
         self,
         exchange: Exchange,
         last_event: str,
-        written: Callable[[], None],
+        on_write: Callable[[], None],
     ) -> None:
         self.last_event = last_event
         self.count = 0
         self.writing = False
         self.first_at = 0.0
         self.sent_at = 0.0
-        self.heard_at = 0.0
+        self.received_at = 0.0
         self.longest_gap = 0.0
         self._exchange = exchange
-        self._written = written
+        self._on_write = on_write
         self._answer: Answer | None = None
         self._splitter = EventSplitter()
         self._run_began_at: float | None = None
-        self._run_heard_at = 0.0
+        self._run_received_at = 0.0
 
     @property
     def began(self) -> bool:
-        """Whether the caller has an event of this answer."""
+        """Whether the caller was sent an event of this answer."""
         return self.count > 0
 
-    def await_run(self) -> None:
-        """Take it that the request goes out for a new run."""
+    def prepare_run(self) -> None:
+        """Prepare for a new run before its request is sent."""
         self._run_began_at = None
-        self.heard_at = trio.current_time()
+        self.received_at = trio.current_time()
 
     def begin_run(self, answer: Answer) -> None:
-        """Take the head of a new run's answer."""
+        """Start reading a new run after the head of its answer."""
         self._answer = answer
         self._splitter = EventSplitter()
 
     def read_run_age(self) -> float:
-        """Return seconds from the run's first bytes to its last so far.
+        """Return the seconds from the first to the latest bytes of the run.
 
-        Not to now: an engine that waits for another one does not run it.
+        Time since the latest bytes does not count: an engine that waits for
+        another one does not run the request.
         """
         if self._run_began_at is None:
             return 0.0
-        return self._run_heard_at - self._run_began_at
+        return self._run_received_at - self._run_began_at
 
-    async def take(self, part: bytes) -> None:
-        """Pass on the events that a part of the body completes.
+    async def deliver(self, part: bytes) -> None:
+        """Forward the events that a part of the body completes.
 
-        :raises BrokenRunError: when the run's events do not fit.
+        :raises BrokenRunError: when an event does not end, or when events
+            are missing.
         """
         now = trio.current_time()
-        self.heard_at = self._run_heard_at = now
+        self.received_at = self._run_received_at = now
         if self._run_began_at is None:
             self._run_began_at = now
         try:
             events = list(self._splitter.feed(part))
-        except ValueError as why:
-            raise BrokenRunError(str(why), True) from why
-        fresh, last, count = b"", self.last_event, 0
+        except ValueError as exc:
+            raise BrokenRunError(str(exc), True) from exc
+        new_data, last, count = b"", self.last_event, 0
         for event in events:
             if event.number is not None and not _is_next(event.number, last):
                 continue
-            fresh += event.data
+            new_data += event.data
             last = event.event_id or last
             count += 1
-        if not fresh:
+        if not new_data:
             return
         sent_before = self.sent_at
-        await self._write(fresh)
+        await self._write(new_data)
         if self.began:
-            # From write to write: what a caller waits for also goes by
-            # between two paths and while its own connection takes nothing.
+            # Measured between writes: the caller also waits while the stream
+            # changes paths and while its own connection is blocked.
             gap = self.sent_at - sent_before
             self.longest_gap = max(self.longest_gap, gap)
-        # Only now: a path that is left just as its events arrive must not
-        # take them for sent, or the next one goes on behind a gap.
+        # Updated only after the write: if the stream leaves its path just as
+        # events arrive, they must not count as sent, or the next path
+        # continues after a gap.
         self.last_event = last
         self.count += count
         self.first_at = self.first_at or now
 
-    def read_first(self, since: float) -> float:
-        """Return seconds from a moment to the first event, 0 for none."""
+    def read_first_event_delay(self, since: float) -> float:
+        """Return the seconds from a time to the first event.
+
+        :returns: 0 when no event was sent.
+        """
         return self.first_at - since if self.began else 0.0
 
     async def finish(self) -> None:
-        """End the answer, as the run's answer has ended.
+        """End the answer to the caller after the run's answer has ended.
 
-        :raises BrokenRunError: when it ended inside an event.
+        :raises BrokenRunError: when the run's answer ended inside an event.
         """
         rest = self._splitter.rest
-        if rest and not self._is_framed():
-            # An answer without a length ends where its connection does,
-            # also when its engine dies: half an event tells.
+        if rest and not self._has_framing():
+            # An answer without a length ends when its connection closes,
+            # also when the engine crashes.  A partial event shows that the
+            # answer is incomplete.
             raise BrokenRunError("the answer ended inside an event", True)
         if rest:
             await self._write(rest)
         await self._start()
         await self._send(self._exchange.end)
 
-    def _is_framed(self) -> bool:
+    def _has_framing(self) -> bool:
         names = (
             {name for name, _ in self._answer.headers} if self._answer else ()
         )
@@ -167,12 +175,11 @@
         await self._send(lambda: self._exchange.start(200, [*copied, chunked]))
 
     async def _send(self, send: Callable[[], Awaitable[None]]) -> None:
-        """Send something to the caller, whole, whatever befalls the path.
+        """Send data to the caller without interruption by a move.
 
-        A path that is left while a write is on its way would leave the
-        half of it with the caller, and what comes from the next path would
-        follow in the middle: an answer that is none.  So leaving waits for
-        the write, and a path that is left already sends no more.
+        If a move cancelled a write, the caller would receive a part of the
+        data, followed by data of the next path: an invalid answer.  So a move
+        waits for the write, and a path that was left sends nothing more.
         """
         await trio.lowlevel.checkpoint_if_cancelled()
         self.writing = True
@@ -181,13 +188,14 @@
         finally:
             self.writing = False
             self.sent_at = trio.current_time()
-            # Time that the caller took to read is not the engine's silence.
-            self.heard_at = self.sent_at
-        self._written()
+            # Time that the caller takes to read does not count as silence
+            # of the engine.
+            self.received_at = self.sent_at
+        self._on_write()
 
 
 def _is_next(number: int, last_event: str) -> bool:
-    """Return whether an event is due; False for one sent already.
+    """Return whether an event is the next one; False for a duplicate.
 
     :raises BrokenRunError: when events before it are missing.
     """
--- a/magnoliacove/gateway/engines.py
+++ b/magnoliacove/gateway/engines.py
@@ -1,4 +1,4 @@
-"""Calls to model engines beside requests: reports and orders."""
+"""Calls of the gateway itself to model engines: reports and orders."""
 
 import trio
 
@@ -10,29 +10,29 @@
 from magnoliacove.platform import engines
 from magnoliacove.routing.paths import Path
 
-__all__ = ["EngineCalls", "was_held_up"]
+__all__ = ["EngineCalls", "was_process_delayed"]
 
 Headers = tuple[tuple[bytes, bytes], ...]
 
 _OK = 200
-# When a wait ends this much later than it should, in seconds, this process
-# itself was held up, and the silence says nothing of the engine.
-_OWN_DELAY = 0.1
+# Seconds by which a wait may end late.  Beyond that this process itself was
+# delayed, and silence does not indicate a failure of the engine.
+_MAX_WAKE_DELAY = 0.1
 
 
-def was_held_up(began: float, timeout: float) -> bool:
-    """Return whether this process was held up while it waited.
+def was_process_delayed(began: float, timeout: float) -> bool:
+    """Return whether this process was delayed during a wait.
 
-    What came in time lies there unread then.
+    Data that arrived in time may then still be unread.
 
-    :param began: when it began to wait, by trio's clock.
-    :param timeout: seconds that it was to wait at most.
+    :param began: the start of the wait, by trio's clock.
+    :param timeout: the maximum duration of the wait in seconds.
     """
-    return trio.current_time() - began - timeout >= _OWN_DELAY
+    return trio.current_time() - began - timeout >= _MAX_WAKE_DELAY
 
 
 class EngineCalls:
-    """Asks engines for reports and gives them orders."""
+    """Requests reports from engines and sends them orders."""
 
     def __init__(self, pool: ChannelPool) -> None:
         self.reports = 0
@@ -40,15 +40,16 @@
         self._pool = pool
 
     async def is_reachable(self, target: ListedTarget) -> bool:
-        """Return whether an engine takes a connection.
+        """Return whether an engine accepts a connection.
 
-        What is asked of one in need counts as a request; this does not.
+        Unlike a report, this does not count as a request at an engine that
+        limits its requests.
         """
         try:
             async with self._pool.use(target, fresh=True):
                 return True
         except TargetError:
-            # Whoever asked writes down what follows from it.
+            # The calling code records the suspicion that follows.
             return False
 
     async def read_report(
@@ -56,8 +57,8 @@
     ) -> engines.EngineReport:
         """Return an engine's report.
 
-        :param fresh: on a connection of its own.
-        :raises TargetError: when none comes.
+        :param fresh: use a new connection.
+        :raises TargetError: when there is no valid report.
         """
         self.reports += 1
         status, _, body = await self._call(
@@ -69,8 +70,8 @@
             )
         try:
             return engines.read_report(body)
-        except errors.ProtocolError as why:
-            raise TargetError(str(why), errors.Outcome.RAN) from why
+        except errors.ProtocolError as exc:
+            raise TargetError(str(exc), errors.Outcome.RAN) from exc
 
     async def place(
         self,
@@ -80,10 +81,10 @@
         interrupt: bool,
         orders: int | None,
     ) -> engines.OrderResult:
-        """Order an engine to hold a range of layers.
+        """Order an engine to load a range of layers.
 
-        :raises TargetError: when no answer comes; the order may have been
-            taken.
+        :raises TargetError: when there is no answer; the order may have been
+            applied.
         """
         self.orders += 1
         body = engines.write_place_order(
@@ -97,10 +98,10 @@
     async def change_path(
         self, first: ListedTarget, request: str, path: Path
     ) -> engines.OrderResult:
-        """Order a request's first engine to go on along another path.
+        """Order a request's first engine to continue along another path.
 
-        :raises TargetError: when no answer comes; the order may have been
-            taken.
+        :raises TargetError: when there is no answer; the order may have been
+            applied.
         """
         self.orders += 1
         body = engines.write_detour_order(request, path)
@@ -110,10 +111,10 @@
         return engines.read_order_result(status)
 
     async def is_leaving(self, target: ListedTarget, path: str) -> bool:
-        """Return whether an engine's health check says that it leaves.
+        """Return whether an engine's health check reports that it shuts down.
 
         :param path: the path of the health check.
-        :raises TargetError: when no answer comes.
+        :raises TargetError: when there is no answer.
         """
         self.reports += 1
         status, answered, _ = await self._call(target, b"GET", path, b"")
@@ -129,13 +130,13 @@
     ) -> tuple[int, Headers, bytes]:
         try:
             return await self._call_once(target, method, path, body, fresh)
-        except TargetError as why:
-            if why.outcome is errors.Outcome.NOT_RUN:
+        except TargetError as exc:
+            if exc.outcome is errors.Outcome.NOT_RUN:
                 raise
-        # A kept connection may have been dropped without notice, which
-        # says nothing of the engine.  A report may be asked for again; an
-        # order names the orders before it, so a second one cannot add to
-        # the first.
+        # The engine may have dropped an idle connection without notice, which
+        # does not mean that it failed.  A report can be requested again; an
+        # order contains the number of orders before it, so repeating it has no
+        # further effect.
         return await self._call_once(target, method, path, body, True)
 
     async def _call_once(
@@ -146,14 +147,14 @@
         body: bytes,
         fresh: bool,
     ) -> tuple[int, Headers, bytes]:
-        sent = [(b"host", str(target.address).encode())]
+        request_headers = [(b"host", str(target.address).encode())]
         if body:
-            sent += [
+            request_headers += [
                 (b"content-type", b"application/json"),
                 (b"content-length", b"%d" % len(body)),
             ]
         async with self._pool.use(target, fresh=fresh) as channel:
-            await channel.send(method, path.encode(), sent, body)
+            await channel.send(method, path.encode(), request_headers, body)
             answer = await channel.read_head("", lambda _: "")
-            rest = await channel.read_rest()
-        return answer.status, answer.headers, rest
+            content = await channel.read_whole_body()
+        return answer.status, answer.headers, content
--- a/magnoliacove/gateway/events.py
+++ b/magnoliacove/gateway/events.py
@@ -1,19 +1,20 @@
-"""Cutting a stream of server-sent events into whole events."""
+"""Splitting of server-sent event streams into whole events."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
 
 __all__ = ["EventSplitter", "StreamEvent"]
 
-_MOST_PENDING = 1024 * 1024
+# Bytes of an event that has not ended yet.
+_MAX_PENDING = 1024 * 1024
 
 
 @dataclass(frozen=True)
 class StreamEvent:
-    """One event as it was sent.
+    """An event as it was sent.
 
-    :param data: its bytes, with the empty line that ends it.
-    :param event_id: its id, or "".
+    :param data: the bytes, including the empty line that ends the event.
+    :param event_id: the id, or "".
     """
 
     data: bytes
@@ -21,16 +22,16 @@
 
     @property
     def number(self) -> int | None:
-        """The id as a number, or None."""
+        """The id as a number, or None if it is not one."""
         return int(self.event_id) if self.event_id.isdigit() else None
 
 
 class EventSplitter:
-    """Cuts parts of a body into whole events.
+    """Splits the parts of a body into whole events.
 
     An engine may stop in the middle of an event.  Only whole events are
-    sent on, so that a caller never has the half of one when the stream
-    goes on elsewhere.
+    forwarded, so that a caller never has a partial event when the stream
+    continues on another engine.
     """
 
     def __init__(self) -> None:
@@ -38,16 +39,16 @@
 
     @property
     def rest(self) -> bytes:
-        """What came after the last whole event."""
+        """The bytes after the last whole event."""
         return self._pending
 
     def feed(self, data: bytes) -> Iterator[StreamEvent]:
-        """Take a part of the body and return the events that it ends.
+        """Add a part of the body and return the events that it completes.
 
-        :raises ValueError: when an event does not end.
+        :raises ValueError: when an event exceeds the maximum length.
         """
         pending = self._pending + data
-        if len(pending) > _MOST_PENDING:
+        if len(pending) > _MAX_PENDING:
             raise ValueError("an event of the stream is too long")
         events = []
         while True:
@@ -63,9 +64,9 @@
 def _find_end(data: bytes) -> int:
     """Return the length of the first event with its empty line, or -1."""
     ends = [
-        at + len(mark)
-        for mark in (b"\n\n", b"\r\n\r\n")
-        if (at := data.find(mark)) >= 0
+        at + len(terminator)
+        for terminator in (b"\n\n", b"\r\n\r\n")
+        if (at := data.find(terminator)) >= 0
     ]
     return min(ends, default=-1)
 
--- a/magnoliacove/gateway/exchanges.py
+++ b/magnoliacove/gateway/exchanges.py
@@ -1,4 +1,4 @@
-"""Sending a caller's request to a target, and the head of its answer."""
+"""Forwarding of callers' requests to targets, and the heads of answers."""
 
 import trio
 
@@ -19,10 +19,10 @@
     last_event: str,
     path: Path | None = None,
 ) -> None:
-    """Send a request with what is left of its time.
+    """Send a request with its remaining time.
 
-    :param last_event: the last event that the caller has, or "".
-    :param path: the engines that it is to pass through.
+    :param last_event: the id of the last event that the caller has, or "".
+    :param path: the engines that the request passes through.
     :raises magnoliacove.gateway.channels.TargetError: when the connection
         breaks.
     """
@@ -47,10 +47,10 @@
 async def read_answer(
     channel: Channel, request: str
 ) -> tuple[Answer, headers.AnswerMarks]:
-    """Return the head of the answer to a request, and what it says.
+    """Return the head of the answer to a request, and its decoded headers.
 
     :param request: the id of the request.
-    :raises magnoliacove.gateway.channels.TargetError: when none comes.
+    :raises magnoliacove.gateway.channels.TargetError: when there is no answer.
     """
     answer = await channel.read_head(
         request, lambda a: headers.read_answered(a.headers)
@@ -58,7 +58,7 @@
     return answer, headers.read_answer(answer.status, answer.headers)
 
 
-def is_genuine(answer: Answer, marks: headers.AnswerMarks) -> bool:
-    """Return whether a target gave an answer, and its body unchanged."""
+def is_genuine(answer: Answer, decoded: headers.AnswerMarks) -> bool:
+    """Return whether a target sent an answer, with its body unchanged."""
     encoded = any(name == b"content-encoding" for name, _ in answer.headers)
-    return marks.stamped and not encoded
+    return decoded.stamped and not encoded
--- a/magnoliacove/gateway/notices.py
+++ b/magnoliacove/gateway/notices.py
@@ -2,7 +2,7 @@
 
 from magnoliacove.directory.health import Health
 from magnoliacove.gateway.channels import Answer
-from magnoliacove.gateway.channels import Hear
+from magnoliacove.gateway.channels import AnswerListener
 from magnoliacove.limits.backpressure import BackpressureBook
 from magnoliacove.platform.notices import read_notice
 
@@ -12,7 +12,7 @@
 _NOT_THE_TARGET = 421
 
 
-def make_listener(book: BackpressureBook, health: Health) -> Hear:
+def make_listener(book: BackpressureBook, health: Health) -> AnswerListener:
     """Return what is told of each answer: to requests, reports, orders.
 
     :param health: what the other gateways hear too.
--- a/magnoliacove/gateway/holds.py
+++ b/magnoliacove/gateway/path_reservations.py
@@ -1,4 +1,4 @@
-"""The path that one stream holds, and its room on the engines."""
+"""Reservations of paths, and of capacity on their engines, for streams."""
 
 from collections.abc import Collection
 
@@ -16,17 +16,17 @@
 from magnoliacove.routing.paths import describe_bottlenecks
 from magnoliacove.routing.paths import find_path
 
-__all__ = ["PathHold"]
+__all__ = ["PathReservation"]
 
-# The part of the answer's likely length that is reserved: streams in
-# progress have written half of theirs on the mean.
-_ANSWER_PART = 0.8
+# The fraction of the answer's likely length that is reserved; streams in
+# progress have written half of their answers on average.
+_RESERVED_ANSWER_PART = 0.8
 
 
-class PathHold:
-    """Finds, reserves and gives back the paths of one stream.
+class PathReservation:
+    """Finds, reserves and releases the paths of one stream.
 
-    :param path: the present path, or None between two.
+    :param path: the current path, or None while there is none.
     :param first_target: the first engine of the path.
     """
 
@@ -36,31 +36,34 @@
         self.shape = _require_shape(routed)
         self._state = state
         self._routed = routed
-        self._answer_tokens = _guess_answer(routed, self.shape)
+        self._answer_tokens = _estimate_answer_tokens(routed, self.shape)
         self._reservation: Reservation | None = None
         self._avoided: set[str] = set()
-        self._firsts: set[str] = set()
-        self._told = False
+        self._first_engines: set[str] = set()
+        self._waiting_recorded = False
 
     def read_tokens(self) -> tuple[float, float]:
-        """Return the tokens of the prompt and those to be written."""
-        prompt = self._routed.marks.prompt_tokens or self.shape.usual_prompt
-        return prompt, self._answer_tokens * _ANSWER_PART
+        """Return the numbers of prompt tokens and of tokens to generate."""
+        prompt = (
+            self._routed.caller_headers.prompt_tokens
+            or self.shape.usual_prompt
+        )
+        return prompt, self._answer_tokens * _RESERVED_ANSWER_PART
 
     def avoid(self, target: str) -> None:
-        """Use an engine only where there is no path without it."""
+        """Use an engine only if there is no path without it."""
         self._avoided.add(target)
 
     def reserve(self) -> Path | None:
-        """Find a path with room and reserve it; None when there is none.
+        """Reserve a path with capacity; return None when there is none.
 
-        Engines on which this stream broke off or was refused are used only
-        where there is no path without them.
+        Engines on which this stream failed or was refused are used only if
+        there is no path without them.
         """
         state = self._state
         costs = state.candidates.make_costs(self.shape, *self.read_tokens())
         ahead = state.candidates.draw_ahead(self._routed.service.name)
-        for avoided, beyond_limits in self._list_tries():
+        for avoided, beyond_limits in self._list_searches():
             path = self._search(costs, avoided, ahead, beyond_limits)
             first = state.targets.find(path.targets[0]) if path else None
             if path is None or first is None:
@@ -73,23 +76,28 @@
         self._note_waiting(costs.tokens)
         return None
 
-    def _list_tries(self) -> list[tuple[Collection[str], bool]]:
-        """Return what each search leaves out, and whether it obeys no limit.
+    def _list_searches(self) -> list[tuple[Collection[str], bool]]:
+        """Return the searches: engines to avoid, and whether to exceed limits.
 
-        An engine with a limit is used within it where there is a path.  What
-        another engine hands on to it is no request of a gateway; without it
-        some layers may have no engine, and no caller an answer.
+        Paths within the engines' request limits come first.  Beyond them, an
+        engine may still be used: a request that another engine passes on to
+        it does not count as a request of a gateway, and without the engine
+        some layers may have none, so that no caller gets an answer.
         """
         any_limit = self._state.backpressure.any_limit
-        ways = (False, True) if any_limit else (False,)
-        sets = (self._avoided, ()) if self._avoided else ((),)
-        return [(avoided, way) for avoided in sets for way in ways]
+        limit_modes = (False, True) if any_limit else (False,)
+        avoided_sets = (self._avoided, ()) if self._avoided else ((),)
+        return [
+            (avoided, beyond_limits)
+            for avoided in avoided_sets
+            for beyond_limits in limit_modes
+        ]
 
     def read_delay(self) -> float:
-        """Return the seconds until there can be a path at all, probably.
+        """Return the estimated seconds until any path can exist.
 
-        :returns: 0 while some engine holds each layer, with room or without,
-            and one of the first ones takes requests.
+        :returns: 0 while each layer is loaded on some engine, whether or not
+            it has capacity, and one of the first engines accepts requests.
         """
         service = self._routed.service.name
         wait = self._state.candidates.read_first_wait(
@@ -102,37 +110,40 @@
         return gaps.read_left()
 
     def has_other_path(self) -> bool:
-        """Return whether there is a path without the present first engine."""
+        """Return whether a path exists without the current first engine."""
         first = self.first_target
         avoided = {first.name} if first is not None else set()
         candidates = self._state.candidates
         costs = candidates.make_costs(self.shape, *self.read_tokens())
-        # Requests ahead change which path is chosen, not whether there is one.
+        # Requests ahead affect which path is chosen, not whether one exists.
         return self._search(costs, avoided, NONE_AHEAD) is not None
 
-    def use(self) -> None:
+    def count_first_engine(self) -> None:
         """Count the first engine as one that the request runs on."""
         if self.first_target is not None:
-            self._firsts.add(self.first_target.name)
+            self._first_engines.add(self.first_target.name)
 
-    def take(self, path: Path, reservation: Reservation) -> None:
-        """Hold another path after the same first stage."""
+    def replace_path(self, path: Path, reservation: Reservation) -> None:
+        """Replace the reserved path by one with the same first stage."""
         if self._reservation is not None:
             self._state.loads.release(self._reservation)
         self.path, self._reservation = path, reservation
         self._state.room.fill()
 
-    def leave(self) -> None:
-        """Give the path and its room back."""
+    def release_path(self) -> None:
+        """Release the path and its capacity."""
         if self._reservation is not None:
             self._state.loads.release(self._reservation)
             self._reservation = None
         self.path = self.first_target = None
-        self._told = False
+        self._waiting_recorded = False
         self._state.room.fill()
 
     def measure_slowness(self) -> float:
-        """Return how many times longer the path's slowest engine takes."""
+        """Return the slowness of the path's slowest engine.
+
+        :returns: how many times longer than usual it takes; 1 without a path.
+        """
         if self.path is None:
             return 1.0
         targets = map(self._state.targets.find, self.path.targets)
@@ -149,9 +160,9 @@
         ahead: Ahead,
         beyond_limits: bool = False,
     ) -> Path | None:
-        """Return the best path that has room and may be taken, or None."""
+        """Return the best path with capacity that may be used, or None."""
         options = self._list_options(avoided, beyond_limits)
-        path = find_path(options, costs, self._list_firsts(), ahead)
+        path = find_path(options, costs, self._list_first_engines(), ahead)
         if path is None or not path.crossings:
             return path
         return path if self._may_cross() else None
@@ -169,26 +180,27 @@
     def _may_cross(self) -> bool:
         return self._state.candidates.may_cross(self.shape)
 
-    def _list_firsts(self) -> frozenset[str] | None:
-        """Return the engines that may be first, None when all may.
+    def _list_first_engines(self) -> frozenset[str] | None:
+        """Return the engines that may be first in a path, None for all.
 
-        A request runs on as many engines as its route allows, counted by
-        the first of each path; one that it ran on may run it once more.
+        The route limits the number of engines that a request runs on.  Only
+        the first engine of each path counts, and an engine that ran the
+        request may run it again.
         """
         used = frozenset(
             name
-            for name in self._firsts
+            for name in self._first_engines
             if self._state.targets.find(name) is not None
         )
         return used if len(used) >= self._routed.route.max_attempts else None
 
     def _note_waiting(self, tokens: float) -> None:
-        if self._told:
+        if self._waiting_recorded:
             return
-        self._told = True
+        self._waiting_recorded = True
         self._state.recorder.record(
             "request-waiting",
-            request=self._routed.marks.request,
+            request=self._routed.caller_headers.request,
             why="no path has room"
             if self._may_cross()
             else "no path has room, and the pipe between data centres is full",
@@ -212,8 +224,8 @@
     return shape
 
 
-def _guess_answer(routed: RoutedRequest, shape: ModelShape) -> float:
-    """Return the likely number of tokens of the answer."""
-    marks = routed.marks
-    likely = marks.likely_tokens or shape.usual_answer
-    return min(likely, marks.most_tokens) if marks.most_tokens else likely
+def _estimate_answer_tokens(routed: RoutedRequest, shape: ModelShape) -> float:
+    """Return the estimated number of tokens of the answer."""
+    decoded = routed.caller_headers
+    likely = decoded.likely_tokens or shape.usual_answer
+    return min(likely, decoded.most_tokens) if decoded.most_tokens else likely
--- a/magnoliacove/gateway/presence.py
+++ b/magnoliacove/gateway/presence.py
@@ -13,7 +13,7 @@
 from magnoliacove.directory.listed import ListedTarget
 from magnoliacove.gateway.channels import TargetError
 from magnoliacove.gateway.engines import EngineCalls
-from magnoliacove.gateway.engines import was_held_up
+from magnoliacove.gateway.engines import was_process_delayed
 from magnoliacove.gateway.state import GatewayState
 from magnoliacove.platform.engines import EngineReport
 
@@ -82,7 +82,7 @@
                     nursery.start_soon(ask, delay, nursery.cancel_scope)
         if found:
             return found[0]
-        if not was_held_up(began, _REPORT_TIMEOUT):
+        if not was_process_delayed(began, _REPORT_TIMEOUT):
             self._state.health.suspect(
                 target.name, f"{why}, and it gives no report"
             )
--- a/magnoliacove/gateway/process.py
+++ b/magnoliacove/gateway/process.py
@@ -95,7 +95,7 @@
         backpressure = BackpressureBook(recorder)
         grants = GrantBook(settings.name)
         permits = Permits(backpressure, grants)
-        pool = ChannelPool(hear=make_listener(backpressure, health))
+        pool = ChannelPool(on_answer=make_listener(backpressure, health))
         self.state = GatewayState(
             name=settings.name,
             data_centre=settings.data_centre,
@@ -358,7 +358,7 @@
             state.candidates.forget(known)
             state.backpressure.forget(known)
             state.permits.forget(known)
-            self._stalls.forget(known)
+            self._stalls.discard_unlisted(known)
             self._crashes.forget()
             await state.pool.close_expired(known)
 
--- a/magnoliacove/gateway/relay.py
+++ b/magnoliacove/gateway/relay.py
@@ -1,4 +1,4 @@
-"""One request of a caller: whose it is, where it goes, what is answered."""
+"""Handling of callers' requests: authentication, routing and errors."""
 
 from dataclasses import dataclass
 import traceback
@@ -22,22 +22,24 @@
 
 __all__ = ["Relay"]
 
-# A caller that comes before the configuration may try again this soon,
-# seconds.
+# Seconds after which a caller that was refused for lack of a configuration may
+# retry.
 _NOT_READY_RETRY = 1.0
-# It is kept waiting for the configuration and the targets for so long before
-# that, seconds.  A process that starts has them within half a second of its
-# first call to the store or to a peer, and callers come back once only.
-_NOT_READY_PATIENCE = 0.7
-_DEFAULT_PATIENCE = 60.0
-# A caller whose request may have ended targets that answer nothing may try
-# again this soon, seconds: by then they are mostly back and tell.
-_HELD_RETRY = 3.0
+# Seconds that a request waits for the configuration and the targets before
+# that refusal.  A process that starts has both within half a second of its
+# first call to the store or to a peer, and callers retry only once.
+_NOT_READY_TIMEOUT = 0.7
+# Seconds until the deadline of a request that does not state one.
+_DEFAULT_TIMEOUT = 60.0
+# Seconds after which a caller may retry while it is undecided whether its
+# request ended a target that does not answer.  By then most such targets have
+# restarted and report it.
+_SUSPECTED_RETRY = 3.0
 
 
 @dataclass(frozen=True)
 class _Outcome:
-    """How a request ended, for the log and the metrics."""
+    """The result of a request, for the log and the metrics."""
 
     result: str
     status: int
@@ -57,11 +59,11 @@
         """Answer one request."""
         state = self._state
         state.open_requests += 1
-        marks = headers.read_caller(exchange.request.headers)
+        caller_headers = headers.read_caller(exchange.request.headers)
         began = exchange.request.arrived
         outcome = _Outcome("caller-left", 0)
         try:
-            outcome = await self._serve(exchange, marks)
+            outcome = await self._serve(exchange, caller_headers)
         finally:
             state.open_requests -= 1
             seconds = trio.current_time() - began
@@ -70,34 +72,35 @@
             if outcome.result == "caller-left":
                 state.recorder.record(
                     "caller-left",
-                    request=marks.request,
+                    request=caller_headers.request,
                     why="the caller closed its connection",
                     seconds=round(seconds, 3),
                     silent=round(exchange.read_silence(), 3),
                 )
 
     async def _serve(
-        self, exchange: Exchange, marks: headers.CallerMarks
+        self, exchange: Exchange, caller_headers: headers.CallerMarks
     ) -> _Outcome:
         try:
-            await self._state.wait_routes(_NOT_READY_PATIENCE)
-            routed = self._route(exchange, marks)
+            await self._state.wait_routes(_NOT_READY_TIMEOUT)
+            routed = self._route(exchange, caller_headers)
             await self._run(exchange, routed)
-        except errors.RequestError as why:
-            return await self._answer_error(exchange, marks, why)
+        except errors.RequestError as exc:
+            return await self._answer_error(exchange, caller_headers, exc)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            # The caller's connection broke; whoever serves it ends it.
+            # The caller's connection broke; CallerConnection closes it.
             raise
-        except Exception as why:
-            return await self._answer_fault(exchange, marks, why)
+        except Exception as exc:
+            return await self._answer_fault(exchange, caller_headers, exc)
         return _Outcome("ok", 200)
 
     def _route(
-        self, exchange: Exchange, marks: headers.CallerMarks
+        self, exchange: Exchange, caller_headers: headers.CallerMarks
     ) -> RoutedRequest:
-        """Find out whose request it is and where it goes.
+        """Determine the route, the client account and the deadline.
 
-        :raises magnoliacove.errors.RequestError: when it goes nowhere.
+        :raises magnoliacove.errors.RequestError: when no route serves the
+            request, or its API key is missing or unknown.
         """
         table, request = self._state.routes, exchange.request
         if table is None:
@@ -115,28 +118,37 @@
                 "host and the path",
                 status=404,
             )
-        account, priority = self._authenticate(table, route, marks)
-        patience = min(route.timeout, marks.patience or _DEFAULT_PATIENCE)
+        account, priority = self._authenticate(table, route, caller_headers)
+        time_limit = min(
+            route.timeout, caller_headers.patience or _DEFAULT_TIMEOUT
+        )
         self._state.seen_traffic = True
         return RoutedRequest(
             request=request,
-            marks=marks,
+            caller_headers=caller_headers,
             route=route,
             service=table.services[route.draw_service(self._state.rng)],
             account=account,
             priority=priority,
-            deadline=request.arrived + patience,
+            deadline=request.arrived + time_limit,
             version=table.version,
             fingerprint=make_fingerprint(request, account),
         )
 
     def _authenticate(
-        self, table: RouteTable, route: Route, marks: headers.CallerMarks
+        self,
+        table: RouteTable,
+        route: Route,
+        caller_headers: headers.CallerMarks,
     ) -> tuple[str, int]:
-        """Return the client account's name and the request's priority."""
+        """Return the client account's name and the request's priority.
+
+        :raises magnoliacove.errors.RequestError: when the API key is missing
+            or unknown and the route is not public.
+        """
         if not table.needs_keys:
             return "", route.priority
-        account = table.find_account(marks.key)
+        account = table.find_account(caller_headers.key)
         if account is None:
             if route.public:
                 return "", route.priority
@@ -156,7 +168,7 @@
         state.unheard.note_request(routed.service.name)
         state.recorder.record(
             "request-arrived",
-            request=routed.marks.request,
+            request=routed.caller_headers.request,
             fingerprint=routed.fingerprint,
             account=routed.account,
             service=routed.service.name,
@@ -164,11 +176,11 @@
             patience=round(routed.deadline - routed.request.arrived, 3),
             objective=routed.route.latency_objective,
             gap_objective=routed.route.gap_objective,
-            resumes=routed.marks.last_event,
+            resumes=routed.caller_headers.last_event,
         )
         wait = state.quarantine.admit(routed.fingerprint)
         if not wait and state.crashes.is_held(routed.fingerprint):
-            wait = _HELD_RETRY
+            wait = _SUSPECTED_RETRY
         if wait > 0.0:
             raise make_quarantined(wait)
         if routed.service.model is not None and routed.route.streaming:
@@ -183,14 +195,14 @@
     async def _answer_fault(
         self,
         exchange: Exchange,
-        marks: headers.CallerMarks,
-        why: Exception,
+        caller_headers: headers.CallerMarks,
+        exc: Exception,
     ) -> _Outcome:
-        """Answer a request that met a fault of our own."""
+        """Answer a request that failed because of a bug in the gateway."""
         self._state.recorder.record(
             "request-fault",
-            request=marks.request,
-            why=repr(why),
+            request=caller_headers.request,
+            why=repr(exc),
             traceback=traceback.format_exc(),
         )
         error = errors.RequestError(
@@ -199,33 +211,34 @@
             status=502,
             outcome=errors.Outcome.MAY_HAVE_RUN,
         )
-        return await self._answer_error(exchange, marks, error)
+        return await self._answer_error(exchange, caller_headers, error)
 
     async def _answer_error(
         self,
         exchange: Exchange,
-        marks: headers.CallerMarks,
-        why: errors.RequestError,
+        caller_headers: headers.CallerMarks,
+        exc: errors.RequestError,
     ) -> _Outcome:
         now = trio.current_time()
         self._state.recorder.record(
             "request-failed",
-            request=marks.request,
-            why=f"{why.code}: {why}",
-            outcome=why.outcome,
-            status=why.status,
-            retry_after=why.retry_after,
+            request=caller_headers.request,
+            why=f"{exc.code}: {exc}",
+            outcome=exc.outcome,
+            status=exc.status,
+            retry_after=exc.retry_after,
             started=exchange.started,
             seconds=round(now - exchange.request.arrived, 3),
         )
         if exchange.started:
-            # The status is out.  Ending the connection without the end of
-            # the body is what tells the caller that it is not whole.
-            return _Outcome(why.code, why.status)
-        body = orjson.dumps({"error": why.code, "message": str(why)})
+            # The status was sent already.  The connection is closed without
+            # the end of the body, which shows the caller that the answer is
+            # incomplete.
+            return _Outcome(exc.code, exc.status)
+        body = orjson.dumps({"error": exc.code, "message": str(exc)})
         await exchange.answer(
-            why.status,
-            headers.write_refusal(marks.request, why.retry_after),
+            exc.status,
+            headers.write_refusal(caller_headers.request, exc.retry_after),
             body,
         )
-        return _Outcome(why.code, why.status)
+        return _Outcome(exc.code, exc.status)
--- a/magnoliacove/gateway/requests.py
+++ b/magnoliacove/gateway/requests.py
@@ -1,4 +1,4 @@
-"""A request whose route, account and deadline are known."""
+"""A routed request, its fingerprint and the errors that answer it."""
 
 from dataclasses import dataclass
 import hashlib
@@ -13,44 +13,48 @@
 __all__ = [
     "RoutedRequest",
     "make_fingerprint",
-    "make_hopeless",
+    "make_may_have_run",
     "make_quarantined",
+    "make_targets_limited",
     "make_timeout",
-    "make_uncertain",
-    "make_unwanted",
-    "read_caller_patience",
+    "make_too_late",
+    "read_caller_timeout",
 ]
 
-# A caller of a stream leaves after the longest of these without an event: a
-# fixed time in seconds, so many times the latency objective, so many times
-# the longest pause.  The figures are the platform's.
-_CALLER_PATIENCE = 2.0
-_CALLER_OBJECTIVES = 4.0
-_CALLER_GAPS = 8.0
-# When a caller may come back whose request the targets had no place for, in
-# seconds.  It mostly meets another gateway then, which has another part of
-# their limits; and what they want lasts for seconds.
-_LEAST_UNWANTED = 0.5
-_MOST_UNWANTED = 4.0
-_UNWANTED_SPREAD = 1.5
-# Bytes of a fingerprint.  Of a billion requests two share one of 8 bytes with
-# a chance of 3 in 100; it names a request in lines and heartbeats.
+# A caller of a stream disconnects after the longest of these without an
+# event: a fixed time in seconds, a multiple of the route's latency objective,
+# and a multiple of its gap objective.  The platform defines these values.
+_CALLER_TIMEOUT = 2.0
+_CALLER_OBJECTIVE_FACTOR = 4.0
+_CALLER_GAP_FACTOR = 8.0
+# Bounds, in seconds, of the retry delay sent to a caller whose request the
+# targets' limits do not admit.  The retry mostly reaches another gateway,
+# which has another share of the limits; and a limit lasts for seconds.
+_MIN_LIMITED_RETRY = 0.5
+_MAX_LIMITED_RETRY = 4.0
+# The delay is multiplied by a random factor from 1 to this one.
+_LIMITED_RETRY_SPREAD = 1.5
+# Bytes of a fingerprint, which identifies a request in log events and
+# heartbeats.  With 8 bytes, the probability that any two of a billion requests
+# have the same one is 3 in 100.
 _FINGERPRINT_BYTES = 8
 
 
 @dataclass(frozen=True)
 class RoutedRequest:
-    """One request and what the configuration says of it.
+    """A request with its route, service, client account and deadline.
 
+    :param caller_headers: the decoded headers of the request.
     :param account: the client account's name, or "".
-    :param priority: 0 goes first.
-    :param deadline: by trio's clock; the answer must be whole by then.
-    :param version: the configuration that it is handled by.
-    :param fingerprint: names what is asked for, whichever attempt asks.
+    :param priority: 0 is the highest.
+    :param deadline: by trio's clock; the answer must be complete by then.
+    :param version: the version of the configuration that applies.
+    :param fingerprint: identifies the content of the request, the same for
+        all attempts.
     """
 
     request: Request
-    marks: CallerMarks
+    caller_headers: CallerMarks
     route: Route
     service: ServiceSpec
     account: str
@@ -61,13 +65,13 @@
 
 
 def make_fingerprint(request: Request, account: str) -> str:
-    """Return a name for what a request asks for, and for whom.
+    """Return an identifier of a request's content and client account.
 
-    Each attempt of a caller has an id of its own; those that ask for the same
-    share this name, on every gateway and after a restart.
+    Each attempt of a caller has its own id.  Attempts with the same content
+    have the same fingerprint, on every gateway and after a restart.
 
-    :returns: 16 hexadecimal digits of the host, the method, the path with its
-        query, the client account and the body.
+    :returns: 16 hexadecimal digits, a hash of the host, the method, the path
+        with its query, the client account and the body.
     """
     digest = hashlib.blake2b(digest_size=_FINGERPRINT_BYTES)
     parts = (
@@ -78,13 +82,14 @@
         request.body,
     )
     for part in parts:
-        # With its length, so that no two requests are joined alike.
+        # The length prefix keeps different requests from giving the same
+        # concatenation.
         digest.update(b"%d:" % len(part) + part)
     return digest.hexdigest()
 
 
 def make_quarantined(wait: float) -> errors.RequestError:
-    """Return the error for a request that is kept away from targets.
+    """Return the error for a request that is blocked from targets.
 
     :param wait: seconds until it may be tried again.
     """
@@ -97,7 +102,7 @@
 
 
 def make_timeout(sent: bool) -> errors.RequestError:
-    """Return the error for a request whose time is over.
+    """Return the error for a request whose deadline has passed.
 
     :param sent: whether a target may have run it.
     """
@@ -116,43 +121,45 @@
     )
 
 
-def make_hopeless(sent: bool, wait: float) -> errors.RequestError:
-    """Return the error for a caller that leaves before any event.
+def make_too_late(sent: bool, wait: float) -> errors.RequestError:
+    """Return the error for a stream whose first event would come too late.
 
     :param sent: whether a target may have run the request.
-    :param wait: seconds until it may come back, if none has.
+    :param wait: seconds until the caller may retry if none did.
     """
-    why = "no path could bring an event before the caller leaves"
+    message = "no path could bring an event before the caller leaves"
     if sent:
-        return make_uncertain("too_late", why, 504)
-    return errors.RequestError("too_late", why, retry_after=wait)
+        return make_may_have_run("too_late", message, 504)
+    return errors.RequestError("too_late", message, retry_after=wait)
 
 
-def make_uncertain(code: str, why: str, status: int) -> errors.RequestError:
+def make_may_have_run(
+    code: str, message: str, status: int
+) -> errors.RequestError:
     """Return the error for a stream that an engine may have run."""
     return errors.RequestError(
-        code, why, status=status, outcome=errors.Outcome.MAY_HAVE_RUN
+        code, message, status=status, outcome=errors.Outcome.MAY_HAVE_RUN
     )
 
 
-def make_unwanted(service: str, wait: float) -> errors.RequestError:
-    """Return the error for a request that all targets want no part of now.
+def make_targets_limited(service: str, wait: float) -> errors.RequestError:
+    """Return the error for a request that no target's limit admits now.
 
-    :param wait: seconds until one does, infinity when that is not known.
+    :param wait: seconds until a target admits one, infinity when unknown.
     """
     return errors.RequestError(
         "targets_in_need",
         f"the targets of {service} take no more requests now; it did not run",
-        # Spread, or all that were refused come back at the same moment.
-        retry_after=min(max(wait, _LEAST_UNWANTED), _MOST_UNWANTED)
-        * random.uniform(1.0, _UNWANTED_SPREAD),
+        # Randomized, so that refused callers do not all retry at once.
+        retry_after=min(max(wait, _MIN_LIMITED_RETRY), _MAX_LIMITED_RETRY)
+        * random.uniform(1.0, _LIMITED_RETRY_SPREAD),
     )
 
 
-def read_caller_patience(route: Route) -> float:
-    """Return the seconds after which a caller of a stream leaves."""
+def read_caller_timeout(route: Route) -> float:
+    """Return the seconds without an event after which a caller disconnects."""
     return max(
-        _CALLER_PATIENCE,
-        _CALLER_OBJECTIVES * route.latency_objective,
-        _CALLER_GAPS * route.gap_objective,
+        _CALLER_TIMEOUT,
+        _CALLER_OBJECTIVE_FACTOR * route.latency_objective,
+        _CALLER_GAP_FACTOR * route.gap_objective,
     )
--- a/magnoliacove/gateway/stalls.py
+++ b/magnoliacove/gateway/stalls.py
@@ -1,11 +1,11 @@
-"""Watching streams: lost engines of their paths, and silence.
-
-When an engine of a path is lost, the whole path falls silent while its
-first engine waits for the lost one.  Each engine of the path is asked: the
-lost one gives no answer, and the first one's report names whom it waits
-for.  Asking costs one small call to an engine for all streams through it,
-and everything that passes through the lost engine is led around it at once
-instead of waiting until the first engine gives up.
+"""Detection of stalled streams and of failed engines in their paths.
+
+When an engine of a path fails, the whole path becomes silent while the first
+engine waits for the failed one.  The gateway requests a report from each
+engine of the path: the failed one does not answer, and the report of the first
+one names the engine that it waits for.  One small call to an engine serves all
+streams through it, and all of them are rerouted around the failed engine at
+once, before the first engine gives up.
 """
 
 from collections.abc import Callable
@@ -16,62 +16,68 @@
 
 from magnoliacove.directory.listed import LayerRange
 from magnoliacove.directory.listed import ListedTarget
-from magnoliacove.gateway.detours import Detours
-from magnoliacove.gateway.detours import PathUser
 from magnoliacove.gateway.engines import EngineCalls
-from magnoliacove.gateway.engines import was_held_up
+from magnoliacove.gateway.engines import was_process_delayed
 from magnoliacove.gateway.presence import EngineChecks
+from magnoliacove.gateway.rerouting import ReroutableStream
+from magnoliacove.gateway.rerouting import Rerouter
 from magnoliacove.gateway.state import GatewayState
 from magnoliacove.routing.paths import PathStage
 
 __all__ = ["StallWatch", "WatchedStream"]
 
-_CHECK_EVERY = 0.05
-# Events come every 20 to 100 ms; a stream that is silent for so long is
-# looked into, seconds.
-SILENCE = 0.4
-# A stream silent for so long moves whatever the report says, if there is
-# another path.  Callers leave after 2 s, and reading the prompt again takes
-# part of that.
-HOPELESS_SILENCE = 1.4
-# Between two questions to the same engine, in seconds.  What a first engine
-# says of the streams that wait is 0.2 s old.
-_ASK_AGAIN = 0.25
-# Engines hold requests for a lost one for up to three seconds.
-_STALLED_FOR_FORMER = 4.0
-
-
-class WatchedStream(PathUser, Protocol):
-    """A stream as the watch sees it."""
+# Seconds between checks of all streams.
+_CHECK_INTERVAL = 0.05
+# Seconds without data after which the engines of a stream's path are checked.
+# Events come every 20 to 100 ms.
+SILENCE_TIMEOUT = 0.4
+# Seconds without an event after which a stream moves to another path, if there
+# is one, whatever the report contains.  Callers disconnect after 2 s, and
+# reading the prompt again takes a part of that.
+MOVE_TIMEOUT = 1.4
+# Minimum seconds between two checks of the same engine.  The stalled streams
+# that a first engine reports are 0.2 s old.
+_RECHECK_INTERVAL = 0.25
+# Seconds after a restart of an engine in which requests that are reported as
+# stalled there may wait for the process before the restart.  Engines keep
+# requests for a failed engine for up to three seconds.
+_MAX_STALL_AFTER_RESTART = 4.0
+
+
+class WatchedStream(ReroutableStream, Protocol):
+    """The operations on a stream that the watch needs."""
 
     @property
     def began(self) -> bool:
-        """Whether the caller has an event of this answer."""
+        """Whether the caller was sent an event of this answer."""
 
     def read_wait(self, now: float) -> float:
-        """Return seconds since the caller got an event, 0 if not due."""
+        """Return the seconds since the caller was last sent an event.
+
+        :returns: 0 while no event is due.
+        """
 
     def has_other_path(self) -> bool:
-        """Return whether there is a path without the present first engine."""
+        """Return whether a path exists without the current first engine."""
 
 
 class StallWatch:
-    """Looks after all streams of one gateway.
+    """Monitors all streams of one gateway.
 
-    :param tell: called when a belief that the peers share was wrong.
+    :param on_correction: called when state that the peers share was wrong.
     """
 
     def __init__(
         self,
         state: GatewayState,
         calls: EngineCalls,
-        tell: Callable[[], None] = lambda: None,
+        on_correction: Callable[[], None] = lambda: None,
     ) -> None:
         self.streams: set[WatchedStream] = set()
         self._state = state
-        self._checks = EngineChecks(state, calls, tell)
-        self._detours = Detours(state, calls)
-        self._asked: dict[str, float] = {}
+        self._checks = EngineChecks(state, calls, on_correction)
+        self._rerouter = Rerouter(state, calls)
+        self._checked_at: dict[str, float] = {}
         self._nursery: trio.Nursery | None = None
 
     async def run(self) -> None:
@@ -79,51 +85,54 @@
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             try:
-                held_up = False
+                was_delayed = False
                 while True:
                     began = trio.current_time()
-                    await trio.sleep(_CHECK_EVERY)
-                    self._lead_around(nursery)
-                    # What came while this process was held up is still
+                    await trio.sleep(_CHECK_INTERVAL)
+                    self._reroute_streams(nursery)
+                    # Data that arrived while this process was delayed is still
                     # unread: every stream looks silent, and all engines
-                    # would be asked.  One round later it is read; who is
-                    # held up again and again has to look all the same.
-                    held_up = not held_up and was_held_up(began, _CHECK_EVERY)
-                    if not held_up:
+                    # would be checked.  It is read by the next round.  After
+                    # a skipped round the check runs in any case, so that
+                    # repeated delays do not suspend it.
+                    was_delayed = not was_delayed and was_process_delayed(
+                        began, _CHECK_INTERVAL
+                    )
+                    if not was_delayed:
                         self._check_silence(nursery)
             finally:
                 self._nursery = None
 
-    def _lead_around(self, nursery: trio.Nursery) -> None:
-        """Lead streams around engines that are lost.
+    def _reroute_streams(self, nursery: trio.Nursery) -> None:
+        """Reroute streams around engines that failed.
 
-        Those that drain go on with what passes through them; led around
-        them, a stream would pause, where else it does not.
+        Draining engines continue to serve the streams through them, and
+        rerouting would only cause a pause.
         """
         state = self._state
-        lost = {
+        failed = {
             suspicion.target
             for suspicion in state.health.list_suspicions()
             if not suspicion.leaving
         }
         moving = state.holdings.list_moving()
-        # One that started again has lost what it held of these streams.
-        lost.update(state.targets.list_former())
-        if not lost and not moving:
+        # An engine that restarted has lost its state of these streams.
+        failed.update(state.targets.list_former())
+        if not failed and not moving:
             return
         for stream in tuple(self.streams):
             path = stream.path
             if path is None:
                 continue
-            gone = frozenset(
+            unusable = frozenset(
                 stage.target
                 for stage in path.stages
-                if stage.target in lost or _is_cut_off(stage, moving)
+                if stage.target in failed or _loses_layers(stage, moving)
             )
-            if gone:
-                names = ", ".join(sorted(gone))
-                self._detours.start(
-                    nursery, stream, gone, f"{names} is lost to the path"
+            if unusable:
+                names = ", ".join(sorted(unusable))
+                self._rerouter.start(
+                    nursery, stream, unusable, f"{names} is lost to the path"
                 )
 
     # Silence.
@@ -132,21 +141,21 @@
         now = trio.current_time()
         for stream in tuple(self.streams):
             waited = stream.read_wait(now)
-            if waited >= HOPELESS_SILENCE and stream.began:
-                # Without another path the present one is all there is: it
-                # may go on, and its caller leaves by itself.
+            if waited >= MOVE_TIMEOUT and stream.began:
+                # Without another path the stream stays on the current one: it
+                # may continue, and its caller disconnects on its own.
                 if stream.has_other_path():
                     stream.move("it was silent for too long")
                 continue
-            if stream.read_silence(now) >= SILENCE:
-                self._ask_path(stream, now, nursery)
+            if stream.read_silence(now) >= SILENCE_TIMEOUT:
+                self._check_path(stream, now, nursery)
 
-    def _ask_path(
+    def _check_path(
         self, stream: WatchedStream, now: float, nursery: trio.Nursery
     ) -> None:
-        """Ask every engine of a silent stream's path whether it lives.
+        """Check whether each engine of a silent stream's path is alive.
 
-        One question to an engine does for all streams through it.
+        One check of an engine serves all streams through it.
         """
         path = stream.path
         if path is None:
@@ -155,32 +164,34 @@
             target = self._state.targets.find(name)
             if target is None or not self._state.health.is_usable(name):
                 continue
-            if now - self._asked.get(name, -1.0) < _ASK_AGAIN:
+            if now - self._checked_at.get(name, -1.0) < _RECHECK_INTERVAL:
                 continue
-            self._asked[name] = now
-            nursery.start_soon(self._ask, target, nursery)
+            self._checked_at[name] = now
+            nursery.start_soon(self._check_engine, target, nursery)
 
-    async def _ask(self, target: ListedTarget, nursery: trio.Nursery) -> None:
-        """Ask an engine, and what the streams wait for that begin there."""
+    async def _check_engine(
+        self, target: ListedTarget, nursery: trio.Nursery
+    ) -> None:
+        """Request an engine's report and suspect the engines that it names."""
         report = await self._checks.read_report(
             target, "streams through it are silent"
         )
         stalled = report.stalled if report is not None else ()
         for address in sorted({item.address for item in stalled}):
             self._suspect_address(address, target.name)
-        self._lead_around(nursery)
+        self._reroute_streams(nursery)
 
     def check_refusal(
         self, target: ListedTarget, status: int, health_path: str
     ) -> None:
-        """Find out soon why an engine refused; the request goes on."""
+        """Start to find out why an engine refused a request."""
         if self._nursery is None:
             return
         self._nursery.start_soon(
-            self._look_into, self._nursery, target, status, health_path
+            self._check_refusal, self._nursery, target, status, health_path
         )
 
-    async def _look_into(
+    async def _check_refusal(
         self,
         nursery: trio.Nursery,
         target: ListedTarget,
@@ -188,42 +199,43 @@
         health_path: str,
     ) -> None:
         await self._checks.check_refusal(target, status, health_path)
-        self._lead_around(nursery)
+        self._reroute_streams(nursery)
 
-    def forget(self, known: set[str]) -> None:
-        """Drop what is known of targets that no longer exist."""
-        self._checks.forget(known)
-        for name in set(self._asked) - known:
-            del self._asked[name]
+    def discard_unlisted(self, listed: set[str]) -> None:
+        """Discard the state of targets that are no longer listed."""
+        self._checks.forget(listed)
+        for name in set(self._checked_at) - listed:
+            del self._checked_at[name]
 
     def _suspect_address(self, address: str, source: str) -> None:
         for target in self._state.targets.list_at(address):
             age = self._state.targets.read_restart_age(target.entry)
-            if age < _STALLED_FOR_FORMER:
-                # They wait for what ran there before.  The engine that runs
-                # there now is sound; suspected, it would be left without
-                # layers and work for seconds.
+            if age < _MAX_STALL_AFTER_RESTART:
+                # The requests wait for the process before the restart.  The
+                # engine that runs there now is healthy; a suspicion would
+                # leave it without layers and work for seconds.
                 continue
             if self._state.holdings.read(target).moving:
-                # It was told to hold other layers; the engine is sound and
-                # what passes through it is led around it anyhow.
+                # The engine was ordered to load other layers.  It is healthy,
+                # and the streams through it are rerouted anyway.
                 continue
             self._state.health.suspect(
                 target.name, f"requests at {source} wait for it"
             )
 
 
-def _is_cut_off(
+def _loses_layers(
     stage: PathStage, moving: Mapping[str, LayerRange | None]
 ) -> bool:
-    """Return whether an engine gives up layers that a stage runs.
+    """Return whether an engine unloads layers that a stage runs.
 
-    What passes through them is cut off, so it need not wait until that shows.
-    What passes through layers that the engine keeps goes on: when all engines
-    of a data centre move by a few layers, every new stream would else be led
-    elsewhere as soon as it is sent, and all that is held moved with it.
+    Streams through those layers are cut off, so they are rerouted before they
+    become silent.  Streams through layers that the engine keeps continue.
+    Otherwise, when all engines of a data centre change a few layers each,
+    every new stream would be rerouted as soon as it is sent, and the engines'
+    state of it moved as well.
 
-    :param moving: the layers that engines keep which give up others.
+    :param moving: for each engine that unloads layers, the layers it keeps.
     """
     if stage.target not in moving:
         return False
--- a/magnoliacove/gateway/stream_lines.py
+++ b/magnoliacove/gateway/stream_log.py
@@ -1,4 +1,4 @@
-"""What the log says of one stream, from its paths to its end."""
+"""Log events of one stream: its paths, their failures and its answer."""
 
 from magnoliacove.gateway.delivery import BrokenRunError
 from magnoliacove.gateway.delivery import EventDelivery
@@ -6,11 +6,11 @@
 from magnoliacove.routing.paths import Path
 from magnoliacove.timeline import Recorder
 
-__all__ = ["StreamLines"]
+__all__ = ["StreamLog"]
 
 
-class StreamLines:
-    """Writes one stream's lines."""
+class StreamLog:
+    """Records the log events of one stream."""
 
     def __init__(
         self,
@@ -19,14 +19,14 @@
         delivery: EventDelivery,
     ) -> None:
         self._recorder = recorder
-        self._request = routed.marks.request
+        self._request = routed.caller_headers.request
         self._arrived = routed.request.arrived
         self._delivery = delivery
 
-    def note_path(self, path: Path, number: int, now: float) -> None:
-        """Write down that the request goes along a path.
+    def record_path(self, path: Path, number: int, now: float) -> None:
+        """Record that the request is sent along a path.
 
-        :param number: how many paths it took, with this one.
+        :param number: the number of paths so far, including this one.
         """
         self._recorder.record(
             "path-chosen",
@@ -39,30 +39,31 @@
             number=number,
         )
 
-    def note_lost(self, target: str, failure: BrokenRunError) -> None:
-        """Write down that the path was lost.
+    def record_lost_path(self, target: str, failure: BrokenRunError) -> None:
+        """Record that the path failed.
 
-        :param target: its first engine, or "" when that was gone.
+        :param target: the first engine of the path, or "" when it is no
+            longer listed.
         """
         self._recorder.record(
             "path-lost",
             request=self._request,
             target=target,
-            why=failure.why,
+            why=failure.reason,
             ran=failure.ran,
             ran_for=round(self._delivery.read_run_age(), 3),
             events=self._delivery.count,
             last_event=self._delivery.last_event,
         )
 
-    def note_answered(self, runs: int, slowness: float, now: float) -> float:
-        """Write down that the answer is whole.
+    def record_answer(self, runs: int, slowness: float, now: float) -> float:
+        """Record that the answer is complete.
 
-        :param runs: how many runs it took.
-        :param slowness: of the slowest engine of the last path.
+        :param runs: the number of runs.
+        :param slowness: the slowness of the last path's slowest engine.
         :returns: the seconds from the request to its first event.
         """
-        first = self._delivery.read_first(self._arrived)
+        first = self._delivery.read_first_event_delay(self._arrived)
         self._recorder.record(
             "request-answered",
             request=self._request,
--- a/magnoliacove/placement/duty.py
+++ b/magnoliacove/placement/duty.py
@@ -21,7 +21,7 @@
 from magnoliacove.directory.targets import TargetList
 from magnoliacove.gateway.channels import TargetError
 from magnoliacove.gateway.engines import EngineCalls
-from magnoliacove.gateway.engines import was_held_up
+from magnoliacove.gateway.engines import was_process_delayed
 from magnoliacove.limits.load import LoadBook
 from magnoliacove.limits.permits import Permits
 from magnoliacove.placement.balance import find_better
@@ -195,7 +195,7 @@
             self._take_report(target, engine, report)
             return
         refused = engine.failures >= _FAILURES
-        if not refused and was_held_up(began, timeout):
+        if not refused and was_process_delayed(began, timeout):
             # All engines that were asked would be suspected by all gateways
             # at once, and all streams led around them.
             return
--- a/tests/gateway/stubs.py
+++ b/tests/gateway/stubs.py
@@ -1,4 +1,4 @@
-"""A scripted HTTP target over loopback, and a gateway's state around it."""
+"""Scripted HTTP targets over loopback, and a gateway that uses them."""
 
 import contextlib
 from dataclasses import dataclass
@@ -43,19 +43,19 @@
 
 
 def make_answer(body, head=OK):
-    """Return a whole answer with a length."""
+    """Return a whole answer with a content length."""
     return head + b"content-length: %d\r\n\r\n" % len(body) + body
 
 
 def make_events(first, last):
-    """Return events with ids from first to last."""
+    """Return the events with the ids from first to last."""
     return b"".join(
         b"id: %d\ndata: piece %d\n\n" % (n, n) for n in range(first, last + 1)
     )
 
 
 def chunk(data):
-    """Return one chunk of a body."""
+    """Return a chunk of a chunked body."""
     return b"%x\r\n" % len(data) + data + b"\r\n"
 
 
@@ -67,7 +67,7 @@
 
 @dataclass
 class Received:
-    """One request that a stub got."""
+    """A request that a stub received."""
 
     method: str
     target: str
@@ -76,7 +76,7 @@
 
 
 class StubTarget:
-    """Answers requests by a script: a coroutine of the request and stream."""
+    """Answers requests with a script: a coroutine of request and stream."""
 
     def __init__(self, script):
         self.script = script
@@ -86,11 +86,11 @@
 
     @property
     def callers_requests(self):
-        """The requests of callers, without what the gateway asks itself."""
+        """The requests of callers, without the gateway's own ones."""
         return [r for r in self.requests if r.target != "/v1/report"]
 
     async def listen(self, task_status=trio.TASK_STATUS_IGNORED):
-        """Serve on a free port of loopback."""
+        """Serve on a free loopback port."""
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
         port = listeners[0].socket.getsockname()[1]
         self.address = Address("127.0.0.1", port)
@@ -175,8 +175,8 @@
     )
 
 
-class Stage:
-    """A gateway's state, its relay, stub targets and a caller."""
+class GatewayHarness:
+    """A gateway's state and relay, with stub targets and callers."""
 
     def __init__(self, nursery):
         self.nursery = nursery
@@ -187,8 +187,8 @@
         backpressure = BackpressureBook(self.recorder)
         grants = GrantBook("gateway")
         permits = Permits(backpressure, grants)
-        hear = make_listener(backpressure, health)
-        loads, pool = LoadBook(), ChannelPool(nursery.start_soon, hear)
+        on_answer = make_listener(backpressure, health)
+        loads, pool = LoadBook(), ChannelPool(nursery.start_soon, on_answer)
         unheard, rng = UnheardRequests(), random.Random(1)
         self.state = GatewayState(
             "gateway",
@@ -243,7 +243,7 @@
         return stub
 
     async def connect(self):
-        """Return a caller's end of a new connection."""
+        """Return the caller's end of a new connection, and the gateway's."""
         ours, theirs = await _open_pair()
         connection = CallerConnection(
             theirs,
@@ -256,13 +256,13 @@
         return ours, connection
 
     async def ask(self, path, *, method="GET", body=b"", **headers):
-        """Send one request and return what comes until the end."""
+        """Send one request and return all data until the connection closes."""
         stream, _ = await self.connect()
         await stream.send_all(make_request(path, method, body, **headers))
         return await read_all(stream)
 
     def list_kinds(self):
-        """Return the kinds of the events that were recorded."""
+        """Return the kinds of the recorded events."""
         return [event.kind for event in self.recorder.list_events()]
 
 
@@ -283,7 +283,7 @@
 
 
 async def read_all(stream):
-    """Return everything until the other end closes."""
+    """Return all data until the other end closes."""
     data = b""
     with (
         trio.move_on_after(20.0),
@@ -304,10 +304,10 @@
 
 
 @contextlib.asynccontextmanager
-async def open_stage():
-    """Open a stage; everything ends with it."""
+async def open_harness():
+    """Open a harness; its tasks end with the block."""
     async with trio.open_nursery() as nursery:
-        yield Stage(nursery)
+        yield GatewayHarness(nursery)
         nursery.cancel_scope.cancel()
 
 
@@ -322,7 +322,7 @@
 
 
 async def reset(_, stream):
-    """Break the connection off without an answer."""
+    """Close the connection without an answer."""
     await trio.aclose_forcefully(stream)
 
 
--- a/tests/gateway/test_beliefs.py
+++ b/tests/gateway/test_beliefs.py
@@ -29,11 +29,13 @@
     return script
 
 
-async def _ask(stage, count):
+async def _ask(harness, count):
     answers = []
 
     async def ask():
-        answers.append(await stage.ask("/stream/1", method="POST", **_HEADERS))
+        answers.append(
+            await harness.ask("/stream/1", method="POST", **_HEADERS)
+        )
 
     async with trio.open_nursery() as nursery:
         for _ in range(count):
@@ -58,17 +60,17 @@
     each learned that by itself, took the same path again and ended with
     503.  One report now corrects the belief for all that follow.
     """
-    async with stubs.open_stage() as stage:
-        wrong = await stage.add("i-1", _refuse(report), layers=(0, 80))
+    async with stubs.open_harness() as harness:
+        wrong = await harness.add("i-1", _refuse(report), layers=(0, 80))
         script = stubs.answer_with(_WHOLE)
-        await stage.add("i-2", script, layers=(0, 80), accelerator="l4")
-        answers = await _ask(stage, 1)
+        await harness.add("i-2", script, layers=(0, 80), accelerator="l4")
+        answers = await _ask(harness, 1)
         await trio.sleep(0.5)
-        answers += await _ask(stage, 5)
+        answers += await _ask(harness, 5)
         assert all(answer.endswith(stubs.END) for answer in answers)
         assert _count(wrong, "/stream") == 1
         assert _count(wrong, "/v1/report") == 1
-        (name, _, holding), *_ = stage.state.holdings.list_corrected()
+        (name, _, holding), *_ = harness.state.holdings.list_corrected()
         assert name == "i-1"
         assert holding.layers in (None, LayerRange(40, 80))
 
@@ -78,16 +80,16 @@
     of before.  Its report names another start: what was believed of it is
     dropped at once, and it counts as one that holds nothing.
     """
-    async with stubs.open_stage() as stage:
+    async with stubs.open_harness() as harness:
         report = {"busy": False, "sequence": 0, "born": 2000}
-        await stage.add(
+        await harness.add(
             "i-1@1000", _refuse(report), layers=(0, 80), incarnation=1000
         )
         script = stubs.answer_with(_WHOLE)
-        await stage.add("i-2", script, layers=(0, 80), accelerator="l4")
-        (answer,) = await _ask(stage, 1)
+        await harness.add("i-2", script, layers=(0, 80), accelerator="l4")
+        (answer,) = await _ask(harness, 1)
         assert answer.endswith(stubs.END)
-        found = stage.state.targets.find("i-1@2000")
+        found = harness.state.targets.find("i-1@2000")
         assert (found.entry, found.layers) == ("i-1", None)
 
 
@@ -116,21 +118,21 @@
             await stream.send_all(event + stubs.END)
 
     moved = trio.Event()
-    async with stubs.open_stage() as stage:
-        await stage.add("i-1", first, layers=(0, 40))
-        second = await stage.add(
+    async with stubs.open_harness() as harness:
+        await harness.add("i-1", first, layers=(0, 40))
+        second = await harness.add(
             "i-2@1000", stubs.stay_silent, layers=(40, 80), incarnation=1000
         )
-        third = await stage.add(
+        third = await harness.add(
             "i-3", stubs.stay_silent, layers=(40, 80), accelerator="l4"
         )
-        stage.nursery.start_soon(_restart, stage)
-        (answer,) = await _ask(stage, 1)
+        harness.nursery.start_soon(_restart, harness)
+        (answer,) = await _ask(harness, 1)
         assert answer.endswith(stubs.END)
         assert str(third.address) in orders[0]["path"]
-        assert stage.state.health.is_usable("i-2@2000")
+        assert harness.state.health.is_usable("i-2@2000")
 
 
-async def _restart(stage):
+async def _restart(harness):
     await trio.sleep(0.1)
-    stage.state.targets.observe("i-2", 2000)
+    harness.state.targets.observe("i-2", 2000)
--- a/tests/gateway/test_callers.py
+++ b/tests/gateway/test_callers.py
@@ -1,4 +1,4 @@
-"""Callers' connections: kept, cut, slow, wrong and leaving."""
+"""Callers' connections: keep-alive, invalid requests and shutdown."""
 
 import pytest
 import trio
@@ -8,11 +8,11 @@
 _ANSWER = stubs.answer_with(stubs.make_answer(b"ok"))
 
 
-async def test_a_connection_serves_request_after_request():
-    """Two requests come at once, without waiting for the first answer."""
-    async with stubs.open_stage() as stage:
-        await stage.add("i-1", _ANSWER)
-        stream, _ = await stage.connect()
+async def test_a_connection_serves_pipelined_requests():
+    """Two requests arrive at once, without waiting for the first answer."""
+    async with stubs.open_harness() as harness:
+        await harness.add("i-1", _ANSWER)
+        stream, _ = await harness.connect()
         kept = stubs.make_request("/get/1", connection="keep-alive")
         await stream.send_all(kept + kept)
         data = b""
@@ -21,10 +21,10 @@
                 data += await stream.receive_some()
 
 
-async def test_a_body_in_chunks_reaches_the_target_whole():
-    async with stubs.open_stage() as stage:
-        stub = await stage.add("i-1", _ANSWER)
-        stream, _ = await stage.connect()
+async def test_a_chunked_body_reaches_the_target_whole():
+    async with stubs.open_harness() as harness:
+        stub = await harness.add("i-1", _ANSWER)
+        stream, _ = await harness.connect()
         head = stubs.make_request(
             "/post/1", "POST", transfer_encoding="chunked"
         )
@@ -49,44 +49,44 @@
         ),
     ],
 )
-async def test_what_is_no_request_gets_one_answer(data, status):
-    async with stubs.open_stage() as stage:
-        stub = await stage.add("i-1", _ANSWER)
-        stream, _ = await stage.connect()
+async def test_an_invalid_request_gets_one_error_answer(data, status):
+    async with stubs.open_harness() as harness:
+        stub = await harness.add("i-1", _ANSWER)
+        stream, _ = await harness.connect()
         await stream.send_all(data)
         answer = await stubs.read_all(stream)
         assert answer.split(b" ")[1] == status
         assert not stub.requests
 
 
-async def test_a_head_that_does_not_end_is_given_up():
-    """A caller sends half of a request and stops.  The connection is
-    closed after the limit, so it does not hold a place for good.
+async def test_an_incomplete_head_times_out():
+    """A caller sends a part of a request and stops.  The connection is
+    closed after the limit, so that it does not stay open forever.
     """
-    async with stubs.open_stage() as stage:
-        stream, _ = await stage.connect()
+    async with stubs.open_harness() as harness:
+        stream, _ = await harness.connect()
         await stream.send_all(b"GET /get/1 HTTP/1.1\r\nhost:")
         began = trio.current_time()
         assert await stubs.read_all(stream) == b""
         assert trio.current_time() - began < 1.0
 
 
-async def test_an_entry_that_leaves_says_so_and_loses_nothing():
-    """The entry is told to stop while a request runs.  The request is
-    answered in full with the word that the connection ends; an idle
-    connection is closed, a busy one is not.
+async def test_shutdown_completes_requests_and_closes_connections():
+    """The gateway is stopped while a request runs.  The answer is complete
+    and announces that the connection closes.  An idle connection is closed at
+    once, a busy one is not.
     """
-    async with stubs.open_stage() as stage:
-        await stage.add(
+    async with stubs.open_harness() as harness:
+        await harness.add(
             "i-1", stubs.answer_with(stubs.make_answer(b"ok"), after=0.2)
         )
-        idle, idle_end = await stage.connect()
-        busy, busy_end = await stage.connect()
+        idle, idle_end = await harness.connect()
+        busy, busy_end = await harness.connect()
         await busy.send_all(
             stubs.make_request("/get/1", connection="keep-alive")
         )
         await trio.sleep(0.1)
-        stage.state.leaving = True
+        harness.state.leaving = True
         idle_end.close_if_idle()
         busy_end.close_if_idle()
         assert await stubs.read_all(idle) == b""
@@ -95,11 +95,11 @@
         assert answer.endswith(b"ok")
 
 
-async def test_a_kept_connection_takes_nothing_just_before_the_end():
-    """A caller's answer began before the gateway was told to stop, so it did
-    not say that the connection would close.  It ends seconds later, and the
-    caller sends its next request at once, which ran at an engine and was cut
-    off in the middle when the grace time ended.
+async def test_a_kept_connection_closes_just_before_the_stop():
+    """An answer that began before the gateway was stopped does not announce
+    that the connection closes.  It ends seconds later, and the caller sends
+    its next request at once.  Unless the connection closes, that request runs
+    at an engine and is cut off at the end of the grace period.
     """
 
     async def write_slowly(_, stream):
@@ -109,15 +109,15 @@
         await stream.send_all(stubs.chunk(stubs.make_events(2, 2)))
         await stream.send_all(stubs.END)
 
-    async with stubs.open_stage() as stage:
-        stub = await stage.add("i-1", write_slowly, layers=(0, 80))
-        stream, _ = await stage.connect()
+    async with stubs.open_harness() as harness:
+        stub = await harness.add("i-1", write_slowly, layers=(0, 80))
+        stream, _ = await harness.connect()
         request = stubs.make_request(
             "/stream/1", "POST", b"x", connection="keep-alive"
         )
         await stream.send_all(request)
         data = await stream.receive_some()
-        stage.state.leaving = stage.closing = True
+        harness.state.leaving = harness.closing = True
         while not data.endswith(stubs.END):
             data += await stream.receive_some()
         await stream.send_all(request)
--- a/tests/gateway/test_crashes.py
+++ b/tests/gateway/test_crashes.py
@@ -18,9 +18,9 @@
     A target that ends takes no connection any more.
     """
 
-    def __init__(self, stage):
+    def __init__(self, harness):
         self.ended = []
-        self._stage = stage
+        self._stage = harness
 
     async def add(self, name, **changes):
         """Start a target that ends when it runs a request for /bad."""
@@ -53,8 +53,8 @@
         return known
 
 
-async def _ask(stage, path, number):
-    return await stage.ask(
+async def _ask(harness, path, number):
+    return await harness.ask(
         path,
         method="POST" if "stream" in path else "GET",
         x_request_id=f"r{number}",
@@ -72,23 +72,23 @@
     refused at once, as not run and with a time to come back; other streams
     of the same caller go on.
     """
-    async with stubs.open_stage() as stage:
-        endings = _Endings(stage)
+    async with stubs.open_harness() as harness:
+        endings = _Endings(harness)
         for number in range(5):
             await endings.add(f"i-{number}", layers=(0, 80))
         for number in range(2):
-            answer = await _ask(stage, "/stream/bad", number)
+            answer = await _ask(harness, "/stream/bad", number)
             assert answer.split(b" ")[1] == b"502"
             await _wait_settled()
             for name in endings.ended:
-                stage.state.targets.remove(name, 2)
+                harness.state.targets.remove(name, 2)
         assert len(endings.ended) == 3
-        answer = await _ask(stage, "/stream/bad", 9)
+        answer = await _ask(harness, "/stream/bad", 9)
         assert answer.split(b" ")[1] == b"503"
         assert b"retry-after: 5" in answer.lower()
         assert len(endings.ended) == 3
-        assert (await _ask(stage, "/stream/good", 10)).endswith(stubs.END)
-        kinds = stage.list_kinds()
+        assert (await _ask(harness, "/stream/good", 10)).endswith(stubs.END)
+        kinds = harness.list_kinds()
         assert kinds.count("target-ended") == 3
         assert kinds.count("quarantine-begun") == 1
 
@@ -106,25 +106,25 @@
         await stream.send_all(stubs.STREAM)
         await trio.sleep_forever()
 
-    async with stubs.open_stage() as stage:
-        await stage.add("i-0", wait, layers=(0, 40))
+    async with stubs.open_harness() as harness:
+        await harness.add("i-0", wait, layers=(0, 40))
         for number in range(3):
             name = f"i-1{number}"
-            second = await stage.add(name, wait, layers=(40, 80))
-            found = stage.state.targets.find(name)
+            second = await harness.add(name, wait, layers=(40, 80))
+            found = harness.state.targets.find(name)
             nobody = dataclasses.replace(second.address, port=1)
             gone = dataclasses.replace(found, address=nobody, revision=2)
-            stage.state.targets.apply(gone)
-            await _ask(stage, "/stream/bad", number)
-            stage.state.targets.remove(name, 3)
+            harness.state.targets.apply(gone)
+            await _ask(harness, "/stream/bad", number)
+            harness.state.targets.remove(name, 3)
         await _wait_settled()
         ended = [
             event.target
-            for event in stage.recorder.list_events()
+            for event in harness.recorder.list_events()
             if event.kind == "target-ended"
         ]
         assert ended == ["i-10", "i-11", "i-12"]
-        answer = await _ask(stage, "/stream/bad", 9)
+        answer = await _ask(harness, "/stream/bad", 9)
         assert answer.split(b" ")[1] == b"503"
         assert b"quarantined" in answer
 
@@ -138,11 +138,11 @@
     async def wait(received, stream):
         await trio.sleep_forever()
 
-    async with stubs.open_stage() as stage:
-        stub = await stage.add("i-1", wait, layers=(40, 80))
-        found = stage.state.targets.find("i-1")
+    async with stubs.open_harness() as harness:
+        stub = await harness.add("i-1", wait, layers=(40, 80))
+        found = harness.state.targets.find("i-1")
         nobody = dataclasses.replace(stub.address, port=1)
-        stage.state.targets.apply(
+        harness.state.targets.apply(
             dataclasses.replace(found, address=nobody, revision=2)
         )
         for number in range(3):
@@ -150,40 +150,40 @@
                 fingerprint=f"{number:016x}",
                 marks=types.SimpleNamespace(request=f"r{number}"),
             )
-            stage.crashes.note_lost(["i-1"], routed, 0.1)
+            harness.crashes.note_lost(["i-1"], routed, 0.1)
         await trio.sleep(0.2)
-        known = stage.state.crashes
+        known = harness.state.crashes
         assert [known.was_at_end(f"{n:016x}") for n in range(3)] == [True] * 3
 
 
 async def test_a_call_that_ends_targets_is_refused():
     """The same at a plain service, whose targets tell no incarnation."""
-    async with stubs.open_stage() as stage:
-        endings = _Endings(stage)
+    async with stubs.open_harness() as harness:
+        endings = _Endings(harness)
         for number in range(6):
             await endings.add(f"i-{number}")
         for number in range(3):
-            await _ask(stage, "/get/bad", number)
+            await _ask(harness, "/get/bad", number)
             await _wait_settled()
-        answer = await _ask(stage, "/get/bad", 9)
+        answer = await _ask(harness, "/get/bad", 9)
         assert answer.split(b" ")[1] == b"503"
         assert len(endings.ended) <= 4
-        assert (await _ask(stage, "/get/good", 10)).endswith(b"ok")
+        assert (await _ask(harness, "/get/good", 10)).endswith(b"ok")
 
 
 async def test_a_connection_that_breaks_is_no_end_of_its_target():
     """Engines live on and lose the connections of one request each time it
     comes, as a fault on the way does.  It is not kept away for that.
     """
-    async with stubs.open_stage() as stage:
+    async with stubs.open_harness() as harness:
         for number in range(4):
-            await stage.add(f"i-{number}", stubs.reset, layers=(0, 80))
+            await harness.add(f"i-{number}", stubs.reset, layers=(0, 80))
         for number in range(4):
-            answer = await _ask(stage, "/stream/bad", number)
+            answer = await _ask(harness, "/stream/bad", number)
             assert answer.split(b" ")[1] == b"502"
             await _wait_settled()
-        assert "quarantine-begun" not in stage.list_kinds()
-        assert "target-ended" not in stage.list_kinds()
+        assert "quarantine-begun" not in harness.list_kinds()
+        assert "target-ended" not in harness.list_kinds()
 
 
 async def test_an_engine_that_falls_silent_is_known_by_its_next_start():
@@ -200,47 +200,47 @@
             return
         await stubs.reset(received, stream)
 
-    async with stubs.open_stage() as stage:
-        await stage.add("i-1", meet, layers=(0, 80))
-        found = stage.state.targets.find("i-1")
-        stage.state.targets.remove("i-1", 2)
-        stage.state.targets.apply(
+    async with stubs.open_harness() as harness:
+        await harness.add("i-1", meet, layers=(0, 80))
+        found = harness.state.targets.find("i-1")
+        harness.state.targets.remove("i-1", 2)
+        harness.state.targets.apply(
             dataclasses.replace(found, name="i-1@1", incarnation=1, revision=3)
         )
-        await _ask(stage, "/stream/bad", 1)
+        await _ask(harness, "/stream/bad", 1)
         await trio.sleep(2.4)
-        assert "target-ended" not in stage.list_kinds()
+        assert "target-ended" not in harness.list_kinds()
         born[0] = 2
         await trio.sleep(0.8)
-        assert "target-ended" in stage.list_kinds()
+        assert "target-ended" in harness.list_kinds()
 
 
 async def test_a_target_that_leaves_is_not_ended_by_what_still_runs():
-    async with stubs.open_stage() as stage:
-        endings = _Endings(stage)
+    async with stubs.open_harness() as harness:
+        endings = _Endings(harness)
         for number in range(4):
             await endings.add(f"i-{number}", layers=(0, 80))
         for number in range(4):
-            stage.state.health.suspect(f"i-{number}", "it leaves")
-        target = stage.state.targets.find("i-0")
+            harness.state.health.suspect(f"i-{number}", "it leaves")
+        target = harness.state.targets.find("i-0")
         leaving = dataclasses.replace(target, draining=True)
-        assert await stage.crashes._has_ended(leaving) is False
+        assert await harness.crashes._has_ended(leaving) is False
 
 
 async def test_a_quarantine_that_is_over_does_not_begin_by_itself():
     """A quarantine lasted its time and nobody asked again.  Another target
     ends: the old ends of the request are not counted a second time.
     """
-    async with stubs.open_stage() as stage:
+    async with stubs.open_harness() as harness:
         for number in range(3):
             run = CrashedRun("00000000000000ab", number, f"i-{number}", 0.1)
-            stage.crashes.take_crash(run, 0.0)
+            harness.crashes.take_crash(run, 0.0)
         await trio.sleep(1.6)
-        book = stage.state.quarantine
+        book = harness.state.quarantine
         assert book.find("00000000000000ab") is not None
         book._known.clear()
         other = CrashedRun("00000000000000ac", 9, "i-9", 0.1)
-        stage.crashes.take_crash(other, 0.0)
+        harness.crashes.take_crash(other, 0.0)
         await trio.sleep(1.6)
         assert book.find("00000000000000ab") is None
 
@@ -249,21 +249,21 @@
     """Each gateway saw one end of a target.  Whichever it comes to next, the
     request is refused; an answer of any gateway ends that for all.
     """
-    async with stubs.open_stage() as stage:
-        await stage.add("i-9", stubs.answer_with(_WHOLE), layers=(0, 80))
-        answer = await _ask(stage, "/stream/bad", 1)
+    async with stubs.open_harness() as harness:
+        await harness.add("i-9", stubs.answer_with(_WHOLE), layers=(0, 80))
+        answer = await _ask(harness, "/stream/bad", 1)
         assert answer.endswith(stubs.END)
         told = [
             event.detail["fingerprint"]
-            for event in stage.recorder.list_events()
+            for event in harness.recorder.list_events()
             if event.kind == "request-arrived"
         ]
-        stage.state.crashes._answered.clear()
+        harness.state.crashes._answered.clear()
         for number in range(3):
             run = CrashedRun(told[0], number, f"i-{number}", 0.1)
-            stage.crashes.take_crash(run, 0.0)
+            harness.crashes.take_crash(run, 0.0)
         await trio.sleep(1.6)
-        answer = await _ask(stage, "/stream/bad", 2)
+        answer = await _ask(harness, "/stream/bad", 2)
         assert answer.split(b" ")[1] == b"503"
-        stage.crashes.note_answered(told[0])
-        assert (await _ask(stage, "/stream/bad", 3)).endswith(stubs.END)
+        harness.crashes.note_answered(told[0])
+        assert (await _ask(harness, "/stream/bad", 3)).endswith(stubs.END)
--- a/tests/gateway/test_events.py
+++ b/tests/gateway/test_events.py
@@ -1,4 +1,4 @@
-"""Cutting a stream into events, wherever its parts were cut."""
+"""Splitting of event streams, whatever the boundaries of their parts."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -10,7 +10,7 @@
 
 
 @given(st.lists(st.integers(0, len(_WHOLE)), max_size=12))
-def test_events_are_whole_wherever_parts_end(cuts):
+def test_events_are_whole_for_any_part_boundaries(cuts):
     splitter = EventSplitter()
     events = []
     edges = [0, *sorted(cuts), len(_WHOLE)]
@@ -21,14 +21,14 @@
     assert splitter.rest == b""
 
 
-def test_the_half_of_an_event_is_kept_back():
+def test_a_partial_event_is_held_until_complete():
     splitter = EventSplitter()
     assert list(splitter.feed(b"id: 1\r\ndata: x\r\n")) == []
     assert [e.event_id for e in splitter.feed(b"\r\nid: 2\n")] == ["1"]
     assert splitter.rest == b"id: 2\n"
 
 
-def test_an_event_without_an_end():
+def test_an_event_without_end_raises_an_error():
     splitter = EventSplitter()
     with pytest.raises(ValueError, match="too long"):
         list(splitter.feed(b"x" * 2_000_000))
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -30,8 +30,8 @@
     return script
 
 
-async def _ask_stream(stage):
-    return await stage.ask("/stream/1", method="POST", **_HEADERS)
+async def _ask_stream(harness):
+    return await harness.ask("/stream/1", method="POST", **_HEADERS)
 
 
 def _read_retry_after(answer):
@@ -40,22 +40,22 @@
 
 async def test_a_plain_target_gets_what_this_gateway_has_a_part_of():
     limited = _limit(stubs.make_answer(b"ok"))
-    async with stubs.open_stage() as stage:
-        stub = await stage.add("i-1", stubs.answer_with(limited))
-        await stage.add(
+    async with stubs.open_harness() as harness:
+        stub = await harness.add("i-1", stubs.answer_with(limited))
+        await harness.add(
             "i-2", stubs.answer_with(stubs.make_answer(b"ok"), after=0.01)
         )
         while not stub.requests:
-            assert (await stage.ask("/get/1")).endswith(b"ok")
+            assert (await harness.ask("/get/1")).endswith(b"ok")
         for _ in range(10):
-            assert (await stage.ask("/get/1")).endswith(b"ok")
+            assert (await harness.ask("/get/1")).endswith(b"ok")
         assert len(stub.requests) == 1
-        stage.state.targets.remove("i-2", 2)
-        stage.state.grants.take("g-2", [Grant("i-1", "gateway", 4.0)])
-        stage.state.grants.renew({"i-1": "g-2"})
+        harness.state.targets.remove("i-2", 2)
+        harness.state.grants.take("g-2", [Grant("i-1", "gateway", 4.0)])
+        harness.state.grants.renew({"i-1": "g-2"})
         await trio.sleep(0.3)
         for part in (b"200 OK", b"503"):
-            assert part in await stage.ask("/get/1")
+            assert part in await harness.ask("/get/1")
         assert len(stub.requests) == 2
 
 
@@ -64,11 +64,11 @@
     one.  Held until its deadline a caller could not try elsewhere.
     """
     limited = _limit(stubs.make_answer(b"ok"))
-    async with stubs.open_stage() as stage:
-        stub = await stage.add("i-1", stubs.answer_with(limited))
-        await stage.ask("/get/1")
+    async with stubs.open_harness() as harness:
+        stub = await harness.add("i-1", stubs.answer_with(limited))
+        await harness.ask("/get/1")
         began = trio.current_time()
-        answer = await stage.ask("/post/1", method="POST", body=b"bid")
+        answer = await harness.ask("/post/1", method="POST", body=b"bid")
         assert trio.current_time() - began < 0.3
         assert answer.split(b" ")[1] == b"503"
         assert 4.0 <= _read_retry_after(answer) <= 6.0
@@ -76,14 +76,14 @@
 
 
 async def test_a_stream_goes_past_an_engine_that_takes_no_more():
-    async with stubs.open_stage() as stage:
-        first = await stage.add(
+    async with stubs.open_harness() as harness:
+        first = await harness.add(
             "i-1", _answer(_limit(_STREAM)), layers=(0, 80)
         )
-        await _ask_stream(stage)
-        other = await stage.add("i-2", _answer(_STREAM), layers=(0, 80))
+        await _ask_stream(harness)
+        other = await harness.add("i-2", _answer(_STREAM), layers=(0, 80))
         for _ in range(5):
-            assert b"piece 3" in await _ask_stream(stage)
+            assert b"piece 3" in await _ask_stream(harness)
         assert len(first.callers_requests) == 1
         assert len(other.callers_requests) == 5
 
@@ -92,11 +92,11 @@
     """All engines that hold the first layers have a limit.  A stream used to
     wait for room until its caller left.
     """
-    async with stubs.open_stage() as stage:
-        await stage.add("i-1", _answer(_limit(_STREAM)), layers=(0, 80))
-        await _ask_stream(stage)
+    async with stubs.open_harness() as harness:
+        await harness.add("i-1", _answer(_limit(_STREAM)), layers=(0, 80))
+        await _ask_stream(harness)
         began = trio.current_time()
-        answer = await _ask_stream(stage)
+        answer = await _ask_stream(harness)
         assert trio.current_time() - began < 0.3
         assert answer.split(b" ")[1] == b"503"
         assert b"retry-after" in answer.lower()
@@ -109,23 +109,25 @@
     """
     answers = []
 
-    async with stubs.open_stage() as stage:
-        stub = await stage.add("i-1", _answer(_limit(_STREAM)), layers=(0, 80))
-        await _ask_stream(stage)
-        stage.state.grants.take("g-2", [Grant("i-1", "gateway", 2.0)])
-        stage.state.grants.renew({"i-1": "g-2"})
+    async with stubs.open_harness() as harness:
+        stub = await harness.add(
+            "i-1", _answer(_limit(_STREAM)), layers=(0, 80)
+        )
+        await _ask_stream(harness)
+        harness.state.grants.take("g-2", [Grant("i-1", "gateway", 2.0)])
+        harness.state.grants.renew({"i-1": "g-2"})
         began = trio.current_time()
 
         async def ask():
-            answer = await _ask_stream(stage)
+            answer = await _ask_stream(harness)
             answers.append((answer, trio.current_time() - began))
 
         async def fill():
             while True:
                 await trio.sleep(0.05)
-                stage.state.room.fill()
+                harness.state.room.fill()
 
-        stage.nursery.start_soon(fill)
+        harness.nursery.start_soon(fill)
         async with trio.open_nursery() as nursery:
             for _ in range(12):
                 nursery.start_soon(ask)
@@ -141,13 +143,13 @@
     before it hands on is no request of a gateway; without it no caller would
     get an answer.
     """
-    async with stubs.open_stage() as stage:
-        await stage.add("i-1", _answer(_STREAM), layers=(0, 40))
-        inner = await stage.add("i-2", _answer(_STREAM), layers=(40, 80))
-        stage.state.backpressure.take(
+    async with stubs.open_harness() as harness:
+        await harness.add("i-1", _answer(_STREAM), layers=(0, 40))
+        inner = await harness.add("i-2", _answer(_STREAM), layers=(40, 80))
+        harness.state.backpressure.take(
             "i-2", TargetNotice(rate_limit=1.2), "a test"
         )
-        assert b"piece 3" in await _ask_stream(stage)
+        assert b"piece 3" in await _ask_stream(harness)
         assert not inner.callers_requests
 
 
@@ -155,15 +157,15 @@
     """A refusal makes the gateway ask why.  Of an engine with a limit that
     counts as a request, so only a connection is tried.
     """
-    async with stubs.open_stage() as stage:
-        stub = await stage.add(
+    async with stubs.open_harness() as harness:
+        stub = await harness.add(
             "i-1", stubs.answer_with(_limit(stubs.NOT_RUN)), layers=(0, 80)
         )
-        await _ask_stream(stage)
+        await _ask_stream(harness)
         await trio.sleep(0.5)
         assert len(stub.requests) == len(stub.callers_requests) == 1
-        assert stage.state.health.is_usable("i-1")
-        assert stage.state.permits.withheld
+        assert harness.state.health.is_usable("i-1")
+        assert harness.state.permits.withheld
 
 
 _WANTS_REST = (
@@ -177,17 +179,17 @@
     asked for more.  One that is full asks for nothing.
     """
     wants_long_rest = _WANTS_REST.replace(b": 3", b": 30")
-    async with stubs.open_stage() as stage:
-        resting = await stage.add(
+    async with stubs.open_harness() as harness:
+        resting = await harness.add(
             "i-1", _answer(wants_long_rest), layers=(0, 80)
         )
-        full = await stage.add("i-2", _answer(stubs.NOT_RUN), layers=(0, 80))
-        sound = await stage.add("i-3", _answer(_STREAM), layers=(0, 80))
+        full = await harness.add("i-2", _answer(stubs.NOT_RUN), layers=(0, 80))
+        sound = await harness.add("i-3", _answer(_STREAM), layers=(0, 80))
         while not (resting.callers_requests and full.callers_requests):
-            await _ask_stream(stage)
+            await _ask_stream(harness)
         await trio.sleep(1.0)
         for _ in range(12):
-            assert b"piece 3" in await _ask_stream(stage)
+            assert b"piece 3" in await _ask_stream(harness)
             await trio.sleep(0.1)
         assert len(resting.requests) == 1
         assert len(full.callers_requests) > 1
@@ -198,23 +200,23 @@
     """All targets of a plain service want rest: a caller is refused at once,
     and told when the first of them takes requests again.
     """
-    async with stubs.open_stage() as stage:
+    async with stubs.open_harness() as harness:
         for name in ("i-1", "i-2"):
-            await stage.add(name, stubs.answer_with(_WANTS_REST))
-        answer = await stage.ask("/post/1", method="POST", body=b"bid")
+            await harness.add(name, stubs.answer_with(_WANTS_REST))
+        answer = await harness.ask("/post/1", method="POST", body=b"bid")
         assert answer.split(b" ")[1] == b"503"
-        answer = await stage.ask("/post/1", method="POST", body=b"bid")
+        answer = await harness.ask("/post/1", method="POST", body=b"bid")
         assert answer.split(b" ")[1] == b"503"
         assert 2.5 <= _read_retry_after(answer) <= 4.5
 
 
 async def test_a_stream_does_not_pass_through_an_engine_that_rests():
-    async with stubs.open_stage() as stage:
-        await stage.add("i-1", _answer(_STREAM), layers=(0, 40))
-        await stage.add("i-2", _answer(_STREAM), layers=(40, 80))
+    async with stubs.open_harness() as harness:
+        await harness.add("i-1", _answer(_STREAM), layers=(0, 40))
+        await harness.add("i-2", _answer(_STREAM), layers=(40, 80))
         notice = TargetNotice(rest=3.0)
-        stage.state.backpressure.take("i-2", notice, "a test")
-        assert (await _ask_stream(stage)).split(b" ")[1] == b"503"
+        harness.state.backpressure.take("i-2", notice, "a test")
+        assert (await _ask_stream(harness)).split(b" ")[1] == b"503"
 
 
 def _leave(answer):
@@ -227,26 +229,26 @@
     """Its entry says nothing, and a suspicion ends by itself: after that it
     got requests again until it was gone.
     """
-    async with stubs.open_stage() as stage:
-        left = await stage.add(
+    async with stubs.open_harness() as harness:
+        left = await harness.add(
             "i-1", stubs.answer_with(_leave(stubs.make_answer(b"ok")))
         )
-        await stage.ask("/get/1")
-        assert stage.state.health.find("i-1").leaving
-        stage.state.health.forget(set())
-        assert stage.state.health.is_usable("i-1")
-        answer = await stage.ask("/get/1")
+        await harness.ask("/get/1")
+        assert harness.state.health.find("i-1").leaving
+        harness.state.health.forget(set())
+        assert harness.state.health.is_usable("i-1")
+        answer = await harness.ask("/get/1")
         assert answer.split(b" ")[1] == b"503"
         assert len(left.requests) == 1
 
 
 async def test_an_engine_that_leaves_runs_nothing_that_others_hand_on():
-    async with stubs.open_stage() as stage:
-        await stage.add("i-1", _answer(_STREAM), layers=(0, 40))
-        inner = await stage.add(
+    async with stubs.open_harness() as harness:
+        await harness.add("i-1", _answer(_STREAM), layers=(0, 40))
+        inner = await harness.add(
             "i-2", _answer(_leave(_STREAM)), layers=(40, 80)
         )
         notice = TargetNotice(rate_limit=1.0, leaving=True)
-        stage.state.backpressure.take("i-2", notice, "a test")
-        assert (await _ask_stream(stage)).split(b" ")[1] == b"503"
+        harness.state.backpressure.take("i-2", notice, "a test")
+        assert (await _ask_stream(harness)).split(b" ")[1] == b"503"
         assert not inner.callers_requests
--- a/tests/gateway/test_notices.py
+++ b/tests/gateway/test_notices.py
@@ -12,10 +12,10 @@
 _LIMITED = b"server-limit: 50\r\n"
 
 
-def _list_notices(stage):
+def _list_notices(harness):
     return [
         event
-        for event in stage.recorder.list_events()
+        for event in harness.recorder.list_events()
         if event.kind == "target-notice"
     ]
 
@@ -27,14 +27,14 @@
     async def script(_, stream):
         await stream.send_all(stubs.make_answer(b"ok", heads.pop(0)))
 
-    async with stubs.open_stage() as stage:
-        await stage.add("i-1", script)
-        stage.state.grants.take("gateway", [Grant("i-1", "gateway", 50.0)])
+    async with stubs.open_harness() as harness:
+        await harness.add("i-1", script)
+        harness.state.grants.take("gateway", [Grant("i-1", "gateway", 50.0)])
         for _ in range(3):
-            stage.state.grants.renew({"i-1": "gateway"})
+            harness.state.grants.renew({"i-1": "gateway"})
             await trio.sleep(0.05)
-            await stage.ask("/get/1")
-        told = _list_notices(stage)
+            await harness.ask("/get/1")
+        told = _list_notices(harness)
         assert [event.detail["rate_limit"] for event in told] == [50.0, None]
         assert {event.target for event in told} == {"i-1"}
 
@@ -46,11 +46,11 @@
         )
         await stream.send_all(stubs.make_answer(json.dumps({}).encode(), head))
 
-    async with stubs.open_stage() as stage:
-        await stage.add("i-1", script, layers=(0, 80))
-        target = stage.state.targets.find("i-1")
-        await stage.calls.read_report(target)
-        [told] = _list_notices(stage)
+    async with stubs.open_harness() as harness:
+        await harness.add("i-1", script, layers=(0, 80))
+        target = harness.state.targets.find("i-1")
+        await harness.calls.read_report(target)
+        [told] = _list_notices(harness)
         assert told.detail["source"] == "/v1/report"
 
 
@@ -62,14 +62,14 @@
         b"HTTP/1.1 421 Misdirected Request\r\nx-not-executed: 1\r\n"
         b"content-length: 0\r\n\r\n"
     )
-    async with stubs.open_stage() as stage:
-        await stage.add("i-1", stubs.answer_with(not_here), layers=(0, 80))
-        book = stage.state.backpressure
+    async with stubs.open_harness() as harness:
+        await harness.add("i-1", stubs.answer_with(not_here), layers=(0, 80))
+        book = harness.state.backpressure
         book.take("i-1", TargetNotice(rate_limit=50.0), "a request")
-        target = stage.state.targets.find("i-1")
-        await stage.calls.is_leaving(target, "/health")
-        stage.state.grants.take("gateway", [Grant("i-1", "gateway", 50.0)])
-        stage.state.grants.renew({"i-1": "gateway"})
+        target = harness.state.targets.find("i-1")
+        await harness.calls.is_leaving(target, "/health")
+        harness.state.grants.take("gateway", [Grant("i-1", "gateway", 50.0)])
+        harness.state.grants.renew({"i-1": "gateway"})
         await trio.sleep(0.05)
-        await stage.ask("/stream/1", method="POST", **_HEADERS)
+        await harness.ask("/stream/1", method="POST", **_HEADERS)
         assert book.read_limit("i-1") == 50.0
--- a/tests/gateway/test_peering.py
+++ b/tests/gateway/test_peering.py
@@ -38,16 +38,16 @@
     return peers.Heartbeat(**{**values, **changes})
 
 
-def _make_exchange(stage, tmp_path):
+def _make_exchange(harness, tmp_path):
     path = samples.write_settings(tmp_path / "s.json", ip="127.0.0.1")
-    follower = StoreFollower(stage.state, object_api.ObjectStore())
+    follower = StoreFollower(harness.state, object_api.ObjectStore())
     return PeerExchange(
-        stage.state,
+        harness.state,
         follower,
         settings.read_settings(path),
         1,
         lambda: False,
-        stage.crashes,
+        harness.crashes,
     )
 
 
@@ -56,15 +56,15 @@
     that still suspect it told the others, which told them in turn: the
     suspicion of a target that no longer exists went round for ever.
     """
-    async with stubs.open_stage() as stage:
-        await stage.add("i-1", stubs.stay_silent)
-        exchange = _make_exchange(stage, tmp_path)
+    async with stubs.open_harness() as harness:
+        await harness.add("i-1", stubs.stay_silent)
+        exchange = _make_exchange(harness, tmp_path)
         suspicions = tuple(
             peers.ReportedSuspicion(name, 0.1, "no report", False)
             for name in ("i-1", "i-9")
         )
         exchange._take_heartbeat(_make_heartbeat(suspicions=suspicions))
-        suspected = [s.target for s in stage.state.health.list_suspicions()]
+        suspected = [s.target for s in harness.state.health.list_suspicions()]
         assert suspected == ["i-1"]
 
 
@@ -73,32 +73,32 @@
     what it knows an engine that only the lost time had is listed; a peer's
     list, which has a lower number but a later era, says otherwise.
     """
-    async with stubs.open_stage() as stage:
-        await stage.add("i-1", stubs.stay_silent)
-        stage.state.targets.replace(
-            stage.state.targets.list_all(),
+    async with stubs.open_harness() as harness:
+        await harness.add("i-1", stubs.stay_silent)
+        harness.state.targets.replace(
+            harness.state.targets.list_all(),
             join_revision(1, 90),
             after_outage=False,
         )
-        exchange = _make_exchange(stage, tmp_path)
+        exchange = _make_exchange(harness, tmp_path)
         exchange._store.era.note(1, "the store")
         for sequence in (1, 2):
             beat = _make_heartbeat(store_era=2, sequence=sequence)
             exchange._take_heartbeat(beat)
         told = [
             event
-            for event in stage.state.recorder.list_events()
+            for event in harness.state.recorder.list_events()
             if event.kind == "store-restored"
         ]
         assert [event.detail["era"] for event in told] == [1, 2]
         found = PeerSnapshot(b"", (), join_revision(2, 40))
         exchange._take_snapshot(PeerSnapshot.decode(found.encode()), "g-2")
-        assert not stage.state.targets.list_all()
+        assert not harness.state.targets.list_all()
 
 
 async def test_a_holder_gives_way_to_a_peer_that_reaches_the_store(tmp_path):
-    async with stubs.open_stage() as stage:
-        exchange = _make_exchange(stage, tmp_path)
+    async with stubs.open_harness() as harness:
+        exchange = _make_exchange(harness, tmp_path)
         assert not exchange.is_replaced()
         for reachable in (False, True):
             beat = _make_heartbeat(
@@ -117,8 +117,8 @@
     store; nobody placed layers until it was gone, and paths with a gap
     stayed closed for eight seconds.
     """
-    async with stubs.open_stage() as stage:
-        exchange = _make_exchange(stage, tmp_path)
+    async with stubs.open_harness() as harness:
+        exchange = _make_exchange(harness, tmp_path)
         leaving = _make_heartbeat(leaving=True)
         other = _make_heartbeat(
             name="z-3", address="127.0.0.1:3", store_reachable=False
@@ -132,8 +132,8 @@
 
 
 async def test_a_long_wait_of_a_watch_is_no_silence(tmp_path):
-    async with stubs.open_stage() as stage:
-        exchange = _make_exchange(stage, tmp_path)
+    async with stubs.open_harness() as harness:
+        exchange = _make_exchange(harness, tmp_path)
         assert exchange.read_store_silence() > 1e6
         exchange._store.note_answered()
         assert exchange.read_store_silence() == 0.0
@@ -149,8 +149,8 @@
     that was more than fits one datagram, and it sent none at all: the others
     took it for gone and all asked the store for its lease.
     """
-    async with stubs.open_stage() as stage:
-        exchange = _make_exchange(stage, tmp_path)
+    async with stubs.open_harness() as harness:
+        exchange = _make_exchange(harness, tmp_path)
         exchange._is_acting = lambda: True
         rng = random.Random(1)
         names = [f"i-{rng.randrange(16**10):010x}" for _ in range(engines)]
@@ -158,7 +158,7 @@
             first = rng.randrange(70)
             layers = LayerRange(first, first + 10)
             held = Holding(layers, used=rng.uniform(0.0, 1e6))
-            stage.state.holdings.note(name, held, rng.random())
+            harness.state.holdings.note(name, held, rng.random())
         told = set()
         for sequence in range(40):
             made = exchange._make_heartbeat(sequence, ())
--- a/tests/gateway/test_presence.py
+++ b/tests/gateway/test_presence.py
@@ -20,18 +20,18 @@
     await stream.send_all(stubs.STREAM + events + stubs.END)
 
 
-def _make_checks(stage):
-    return EngineChecks(stage.state, stage.calls, lambda: None)
+def _make_checks(harness):
+    return EngineChecks(harness.state, harness.calls, lambda: None)
 
 
 async def test_an_engine_that_answers_is_sound():
-    async with stubs.open_stage() as stage:
+    async with stubs.open_harness() as harness:
         script = stubs.answer_with(stubs.make_answer(_REPORT))
-        await stage.add("i-1", script, layers=(0, 80))
-        target = stage.state.targets.find("i-1")
-        report = await _make_checks(stage).read_report(target, "asked")
+        await harness.add("i-1", script, layers=(0, 80))
+        target = harness.state.targets.find("i-1")
+        report = await _make_checks(harness).read_report(target, "asked")
         assert report.orders == 1
-        assert stage.state.health.is_usable("i-1")
+        assert harness.state.health.is_usable("i-1")
 
 
 async def test_one_lost_packet_makes_no_engine_look_lost():
@@ -47,12 +47,12 @@
             await trio.sleep_forever()
         await stream.send_all(stubs.make_answer(_REPORT))
 
-    async with stubs.open_stage() as stage:
-        await stage.add("i-1", lose_first, layers=(0, 80))
-        target = stage.state.targets.find("i-1")
-        report = await _make_checks(stage).read_report(target, "asked")
+    async with stubs.open_harness() as harness:
+        await harness.add("i-1", lose_first, layers=(0, 80))
+        target = harness.state.targets.find("i-1")
+        report = await _make_checks(harness).read_report(target, "asked")
         assert report is not None
-        assert stage.state.health.is_usable("i-1")
+        assert harness.state.health.is_usable("i-1")
 
 
 async def test_an_engine_without_an_answer_is_lost_at_once():
@@ -60,29 +60,29 @@
     without a question all streams stayed with it for a second, and most
     requests of that second came too late.
     """
-    async with stubs.open_stage() as stage:
-        await stage.add("i-1", stubs.stay_silent, layers=(0, 80))
-        target = stage.state.targets.find("i-1")
+    async with stubs.open_harness() as harness:
+        await harness.add("i-1", stubs.stay_silent, layers=(0, 80))
+        target = harness.state.targets.find("i-1")
         with trio.fail_after(0.35):
-            await _make_checks(stage).check_refusal(target, 503, "/health")
-        assert not stage.state.health.is_usable("i-1")
+            await _make_checks(harness).check_refusal(target, 503, "/health")
+        assert not harness.state.health.is_usable("i-1")
 
 
 async def test_an_engine_is_not_blamed_for_our_own_delay(monkeypatch):
     """This process was held up while the answer lay there: what came late
     came late here, and the engine is sound.
     """
-    async with stubs.open_stage() as stage:
-        await stage.add("i-1", stubs.stay_silent, layers=(0, 80))
-        target = stage.state.targets.find("i-1")
+    async with stubs.open_harness() as harness:
+        await harness.add("i-1", stubs.stay_silent, layers=(0, 80))
+        target = harness.state.targets.find("i-1")
         times = iter([100.0])
         monkeypatch.setattr(
             "magnoliacove.gateway.presence.trio.current_time",
             lambda: next(times, 101.0),
         )
-        assert await _make_checks(stage).read_report(target, "asked") is None
+        assert await _make_checks(harness).read_report(target, "asked") is None
         monkeypatch.undo()
-        assert stage.state.health.is_usable("i-1")
+        assert harness.state.health.is_usable("i-1")
 
 
 @pytest.mark.parametrize("lost", ["i-1", "i-2", "i-3"])
@@ -109,16 +109,18 @@
 
         return script
 
-    async with stubs.open_stage() as stage:
+    async with stubs.open_harness() as harness:
         for name, layers in (
             ("i-1", (0, 30)),
             ("i-2", (30, 60)),
             ("i-3", (60, 80)),
         ):
-            engines[name] = await stage.add(name, make(name), layers=layers)
-        await stage.add("i-4", _serve_whole, layers=(0, 80), accelerator="l4")
+            engines[name] = await harness.add(name, make(name), layers=layers)
+        await harness.add(
+            "i-4", _serve_whole, layers=(0, 80), accelerator="l4"
+        )
         began = trio.current_time()
-        answer = await stage.ask(
+        answer = await harness.ask(
             "/stream/1",
             method="POST",
             x_token_usage="100,20",
@@ -126,5 +128,5 @@
         )
         assert answer.endswith(stubs.END)
         assert trio.current_time() - began < 0.9
-        suspected = [s.target for s in stage.state.health.list_suspicions()]
+        suspected = [s.target for s in harness.state.health.list_suspicions()]
         assert suspected == [lost]
--- a/tests/gateway/test_restored_store.py
+++ b/tests/gateway/test_restored_store.py
@@ -72,8 +72,8 @@
 
 @contextlib.asynccontextmanager
 async def _follow(nursery):
-    stage = stubs.Stage(nursery)
-    stage.state.routes = None
+    harness = stubs.GatewayHarness(nursery)
+    harness.state.routes = None
     store = object_api.ObjectStore()
     app, listener = (
         object_api.make_app(store),
@@ -81,11 +81,11 @@
     )
     url = await nursery.start(web.run_server, app, listener)
     api = platform.HttpObjectApi(url, timeout=1.0)
-    play = _Play(store, stage.state)
+    play = _Play(store, harness.state)
     for name in ("i-1", "i-2"):
         await play.write_entry(name)
     await play.write("config/main", {**samples.CONFIGURATION, "version": 7})
-    nursery.start_soon(StoreFollower(stage.state, api).run)
+    nursery.start_soon(StoreFollower(harness.state, api).run)
     await play.wait_names(["i-1", "i-2"], 3.0)
     yield play, api
 
--- a/tests/gateway/test_store.py
+++ b/tests/gateway/test_store.py
@@ -20,13 +20,13 @@
 
 
 async def _start(nursery):
-    stage = stubs.Stage(nursery)
-    stage.state.routes = None
-    stage.state.seen_traffic = True
+    harness = stubs.GatewayHarness(nursery)
+    harness.state.routes = None
+    harness.state.seen_traffic = True
     store = object_api.ObjectStore()
-    follower = StoreFollower(stage.state, store)
+    follower = StoreFollower(harness.state, store)
     nursery.start_soon(follower.run)
-    return stage.state, store, follower
+    return harness.state, store, follower
 
 
 async def test_a_new_version_is_in_force_at_once(autojump_clock, nursery):
@@ -138,18 +138,18 @@
     waits long, since a peer with the placement duty looks more often.  The
     peer tells of a newer change, so the list is read again at once.
     """
-    stage = stubs.Stage(nursery)
+    harness = stubs.GatewayHarness(nursery)
     store = _SilentStore()
-    follower = StoreFollower(stage.state, store, lambda: True)
+    follower = StoreFollower(harness.state, store, lambda: True)
     nursery.start_soon(follower.run)
     await trio.sleep(0.5)
     revision = await store.put("servers/i-1", json.dumps(_ENTRY).encode())
     await trio.sleep(2.0)
-    assert not stage.state.targets.list_all()
+    assert not harness.state.targets.list_all()
     for _ in range(4):
         follower.compare_list(revision)
         await trio.sleep(0.3)
-    assert [t.name for t in stage.state.targets.list_all()] == ["i-1"]
+    assert [t.name for t in harness.state.targets.list_all()] == ["i-1"]
 
 
 async def test_a_list_that_is_as_new_is_not_read_again(
@@ -172,9 +172,9 @@
     knows.  When the store is back the watch brings the removal of entries
     that lapsed meanwhile; the targets live and write themselves anew.
     """
-    stage = stubs.Stage(nursery)
+    harness = stubs.GatewayHarness(nursery)
     store = object_api.ObjectStore()
-    follower = StoreFollower(stage.state, store, lambda: True)
+    follower = StoreFollower(harness.state, store, lambda: True)
     nursery.start_soon(follower.run)
     for name in ("i-1", "i-2"):
         await store.put(f"servers/{name}", json.dumps(_ENTRY).encode())
@@ -183,15 +183,15 @@
     await store.delete("servers/i-1")
     await store.delete("servers/i-2")
     await trio.sleep(1.0)
-    assert len(stage.state.targets.list_all()) == 2
+    assert len(harness.state.targets.list_all()) == 2
     await store.put("servers/i-1", json.dumps(_ENTRY).encode())
     await trio.sleep(2.0)
-    stage.state.targets.expire()
-    assert [t.name for t in stage.state.targets.list_all()] == ["i-1"]
+    harness.state.targets.expire()
+    assert [t.name for t in harness.state.targets.list_all()] == ["i-1"]
     await trio.sleep(3.0)
     await store.delete("servers/i-1")
     await trio.sleep(0.5)
-    assert not stage.state.targets.list_all()
+    assert not harness.state.targets.list_all()
 
 
 async def test_an_entry_that_another_writer_spoils_names_no_engine(
@@ -250,30 +250,30 @@
     An operator's script writes a version every 0.08 s.  The first one is in
     force at once, the last one within a second, and most are never read.
     """
-    stage = stubs.Stage(nursery)
+    harness = stubs.GatewayHarness(nursery)
     store = _CountingStore()
-    nursery.start_soon(StoreFollower(stage.state, store).run)
+    nursery.start_soon(StoreFollower(harness.state, store).run)
     await trio.sleep(0.5)
     for version in range(10, 35):
         await store.put("config/main", _write(version))
         if version == 10:
             await trio.sleep(0.01)
-            assert stage.state.routes.version == 10
+            assert harness.state.routes.version == 10
         await trio.sleep(0.08)
     await trio.sleep(1.0)
-    assert stage.state.routes.version == 34
+    assert harness.state.routes.version == 34
     assert store.handed["config"] <= 14
 
 
 async def test_a_single_change_costs_one_call(autojump_clock, nursery):
-    stage = stubs.Stage(nursery)
+    harness = stubs.GatewayHarness(nursery)
     store = _CountingStore()
-    nursery.start_soon(StoreFollower(stage.state, store).run)
+    nursery.start_soon(StoreFollower(harness.state, store).run)
     for version in (10, 12, 14):
         await trio.sleep(3.0)
         await store.put("config/main", _write(version))
         await trio.sleep(0.01)
-        assert stage.state.routes.version == version
+        assert harness.state.routes.version == version
     assert store.handed["config"] == 3
 
 
@@ -287,11 +287,11 @@
     """
     calls = []
     for following in (False, True):
-        stage = stubs.Stage(nursery)
-        stage.state.seen_traffic = True
+        harness = stubs.GatewayHarness(nursery)
+        harness.state.seen_traffic = True
         store = _CountingStore()
         follower = StoreFollower(
-            stage.state, store, lambda following=following: following, 4.0
+            harness.state, store, lambda following=following: following, 4.0
         )
         nursery.start_soon(follower.run)
         await trio.sleep(0.5)
@@ -301,7 +301,7 @@
             await store.put("servers/i-1", json.dumps(entry).encode())
             await trio.sleep(0.04)
         await trio.sleep(0.7)
-        [target] = stage.state.targets.list_all()
+        [target] = harness.state.targets.list_all()
         assert target.slots == 100
         calls.append(store.answers - before)
     assert calls[1] < 0.5 * calls[0]
@@ -316,10 +316,10 @@
     """
     calls = []
     for seen in (True, False):
-        stage = stubs.Stage(nursery)
-        stage.state.seen_traffic = seen
+        harness = stubs.GatewayHarness(nursery)
+        harness.state.seen_traffic = seen
         store = object_api.ObjectStore()
-        follower = StoreFollower(stage.state, store, drain=4.0)
+        follower = StoreFollower(harness.state, store, drain=4.0)
         nursery.start_soon(follower.run)
         await trio.sleep(0.5)
         for number in range(40):
@@ -327,6 +327,6 @@
             await store.put(f"servers/i-{number}", json.dumps(entry).encode())
             await trio.sleep(0.1)
         await trio.sleep(1.0)
-        assert len(stage.state.targets.list_all()) == 40
+        assert len(harness.state.targets.list_all()) == 40
         calls.append(store.counts["watch"])
     assert calls[1] < 0.5 * calls[0]
