--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams over paths of engines: whole, in order, once, whatever breaks."""
+"""Streams over paths of engines: every event once, in order, on failures."""
 
 import contextlib
 import dataclasses
@@ -26,17 +26,17 @@
     return answer.endswith(b"\r\n" + stubs.END)
 
 
-async def _ask(stage, path="/stream/1", **headers):
-    return await stage.ask(path, method="POST", **{**_HEADERS, **headers})
+async def _ask(harness, path="/stream/1", **headers):
+    return await harness.ask(path, method="POST", **{**_HEADERS, **headers})
 
 
 @contextlib.asynccontextmanager
-async def _asking(stage):
-    """Ask for a stream while the block runs; give the list of its answer."""
+async def _asking(harness):
+    """Request a stream while the block runs; yield the list of its answer."""
     answers = []
 
     async def ask():
-        answers.append(await _ask(stage))
+        answers.append(await _ask(harness))
 
     async with trio.open_nursery() as nursery:
         nursery.start_soon(ask)
@@ -44,11 +44,11 @@
 
 
 def _stream(last=6, *, cut_after=0, cut_inside=False, then=None):
-    """Return a script that streams events, from where it is asked to.
+    """Return a script that streams events after the last event id received.
 
-    :param cut_after: break off after this event.
-    :param cut_inside: break off in the middle of the next event.
-    :param then: what to do instead of breaking off.
+    :param cut_after: close the connection after this event.
+    :param cut_inside: close it in the middle of the next event.
+    :param then: a script to run before closing the connection.
     """
 
     async def script(received, stream):
@@ -72,127 +72,128 @@
     return script
 
 
-async def test_a_stream_passes_along_its_path():
-    async with stubs.open_stage() as stage:
-        first = await stage.add("i-1", _stream(), layers=(0, 40))
-        second = await stage.add("i-2", _stream(), layers=(40, 80))
-        answer = await _ask(stage)
+async def test_a_stream_names_its_path_to_the_first_engine():
+    async with stubs.open_harness() as harness:
+        first = await harness.add("i-1", _stream(), layers=(0, 40))
+        second = await harness.add("i-2", _stream(), layers=(40, 80))
+        answer = await _ask(harness)
         assert _read_ids(answer) == [1, 2, 3, 4, 5, 6]
         assert _is_whole(answer)
         assert not second.callers_requests
         hops = first.requests[0].headers["x-hops"]
         assert hops == f"{first.address}=0-40,{second.address}=40-80"
-        assert not stage.state.loads.list_own()
+        assert not harness.state.loads.list_own()
 
 
 @pytest.mark.parametrize("cut_inside", [False, True])
-async def test_a_broken_stream_goes_on_elsewhere(cut_inside):
-    """The first engine dies after three events, or inside the fourth.
-    The stream goes on at another one behind the last whole event, in the
-    same answer: nothing is missing, nothing comes twice.
+async def test_a_broken_stream_continues_on_another_engine(cut_inside):
+    """The first engine crashes after three events, or inside the fourth.  The
+    stream continues on another one after the last whole event, in the same
+    answer: no event is missing and none is sent twice.
     """
-    async with stubs.open_stage() as stage:
+    async with stubs.open_harness() as harness:
         dying = _stream(cut_after=3, cut_inside=cut_inside)
-        await stage.add("i-1", dying, layers=(0, 80))
-        async with _asking(stage) as answers:
+        await harness.add("i-1", dying, layers=(0, 80))
+        async with _asking(harness) as answers:
             await trio.sleep(0.01)
-            other = await stage.add("i-2", _stream(), layers=(0, 80))
+            other = await harness.add("i-2", _stream(), layers=(0, 80))
         assert _read_ids(answers[0]) == [1, 2, 3, 4, 5, 6]
         assert _is_whole(answers[0])
         assert answers[0].count(b"HTTP/1.1") == 1
         assert other.requests[0].headers["last-event-id"] == "3"
 
 
-async def test_the_pause_between_two_paths_is_told():
-    """A caller complains of a pause; the lines show none, so it is no one's.
+async def test_the_pause_between_two_paths_is_recorded():
+    """The longest gap must include a pause between two paths; otherwise the
+    log does not explain the pause that a caller sees.
 
-    The first engine falls silent after three events and dies 0.3 s later.
-    The stream goes on elsewhere at once.  The caller waited for the fourth
-    event all that time, whichever engine was heard meanwhile.
+    The first engine becomes silent after three events and crashes 0.3 s
+    later, and the stream continues on another one at once.  The caller waits
+    for the fourth event all that time.
     """
 
     async def wait(received, stream):
         await trio.sleep(0.3)
 
-    async with stubs.open_stage() as stage:
+    async with stubs.open_harness() as harness:
         dying = _stream(cut_after=3, then=wait)
-        await stage.add("i-1", dying, layers=(0, 80))
-        async with _asking(stage) as answers:
+        await harness.add("i-1", dying, layers=(0, 80))
+        async with _asking(harness) as answers:
             await trio.sleep(0.01)
-            await stage.add("i-2", _stream(), layers=(0, 80))
+            await harness.add("i-2", _stream(), layers=(0, 80))
         assert _read_ids(answers[0]) == [1, 2, 3, 4, 5, 6]
-        [told] = [
+        [answered] = [
             event
-            for event in stage.recorder.list_events()
+            for event in harness.recorder.list_events()
             if event.kind == "request-answered"
         ]
-        assert 0.28 <= told.detail["longest_gap"] < 0.6
+        assert 0.28 <= answered.detail["longest_gap"] < 0.6
 
 
-async def test_a_caller_that_resumes_starts_behind_its_last_event():
-    async with stubs.open_stage() as stage:
-        await stage.add("i-1", _stream(), layers=(0, 80))
-        answer = await _ask(stage, last_event_id="4")
+async def test_a_resuming_caller_starts_after_its_last_event():
+    async with stubs.open_harness() as harness:
+        await harness.add("i-1", _stream(), layers=(0, 80))
+        answer = await _ask(harness, last_event_id="4")
         assert _read_ids(answer) == [5, 6]
 
 
-async def test_a_stream_that_cannot_go_on_does_not_look_whole():
-    """No engine is left.  The answer ends without the end of its body, so
-    the caller knows that it is not complete.
+async def test_a_stream_that_cannot_continue_looks_incomplete():
+    """No other engine is available.  The answer closes without the end of its
+    body, so that the caller detects that it is incomplete.
     """
-    async with stubs.open_stage() as stage:
-        await stage.add("i-1", _stream(cut_after=3), layers=(0, 80))
-        answer = await _ask(stage)
+    async with stubs.open_harness() as harness:
+        await harness.add("i-1", _stream(cut_after=3), layers=(0, 80))
+        answer = await _ask(harness)
         assert _read_ids(answer)[:3] == [1, 2, 3]
         assert not _is_whole(answer)
 
 
 async def test_a_stream_that_may_not_be_resumed_runs_once():
-    async with stubs.open_stage() as stage:
-        await stage.add("i-1", _stream(cut_after=2), layers=(0, 80))
-        other = await stage.add("i-2", _stream(cut_after=2), layers=(0, 80))
-        answer = await _ask(stage, "/once/1")
+    async with stubs.open_harness() as harness:
+        await harness.add("i-1", _stream(cut_after=2), layers=(0, 80))
+        other = await harness.add("i-2", _stream(cut_after=2), layers=(0, 80))
+        answer = await _ask(harness, "/once/1")
         assert _read_ids(answer) == [1, 2]
         assert not _is_whole(answer)
         assert len(other.callers_requests) <= 1
-        assert stage.list_kinds().count("path-chosen") == 1
+        assert harness.list_kinds().count("path-chosen") == 1
 
 
-async def test_events_that_skip_some_are_not_passed_on():
-    """An engine goes on behind a gap.  The caller must not get pieces of
-    which one is missing.
+async def test_events_after_a_gap_are_not_forwarded():
+    """An engine skips an event.  The caller must not get the events after
+    the missing one.
     """
 
     async def skip(_, stream):
         events = stubs.make_events(1, 2) + stubs.make_events(4, 5)
         await stream.send_all(stubs.STREAM + stubs.chunk(events) + stubs.END)
 
-    async with stubs.open_stage() as stage:
-        await stage.add("i-1", skip, layers=(0, 80))
-        answer = await _ask(stage)
+    async with stubs.open_harness() as harness:
+        await harness.add("i-1", skip, layers=(0, 80))
+        answer = await _ask(harness)
         assert 4 not in _read_ids(answer)
         assert not _is_whole(answer)
 
 
-async def test_events_sent_again_come_once():
-    """The engine that goes on begins earlier than it was asked to."""
+async def test_repeated_events_are_forwarded_once():
+    """The engine that resumes a stream starts earlier than requested."""
 
     async def again(_, stream):
         events = stubs.make_events(1, 6)
         await stream.send_all(stubs.STREAM + stubs.chunk(events) + stubs.END)
 
-    async with stubs.open_stage() as stage:
-        await stage.add("i-1", again, layers=(0, 80))
-        answer = await _ask(stage, last_event_id="3")
+    async with stubs.open_harness() as harness:
+        await harness.add("i-1", again, layers=(0, 80))
+        answer = await _ask(harness, last_event_id="3")
         assert _read_ids(answer) == [4, 5, 6]
 
 
 async def test_a_refusal_names_the_engine_to_avoid():
-    """The second engine of the quicker path has no room.  The next path
-    goes around it.
+    """The second engine of the faster path has no capacity.  The next path
+    avoids it.
     """
-    async with stubs.open_stage() as stage:
-        second = await stage.add("i-2", stubs.stay_silent, layers=(40, 80))
+    async with stubs.open_harness() as harness:
+        second = await harness.add("i-2", stubs.stay_silent, layers=(40, 80))
         refusal = (
             b"HTTP/1.1 503 Busy\r\nx-not-executed: 1\r\nat-server: "
             + str(second.address).encode()
@@ -205,51 +206,55 @@
                 return
             await _stream()(received, stream)
 
-        await stage.add("i-1", script, layers=(0, 40))
-        await stage.add("i-3", stubs.reset, layers=(40, 80), accelerator="l4")
-        answer = await _ask(stage)
+        await harness.add("i-1", script, layers=(0, 40))
+        await harness.add(
+            "i-3", stubs.reset, layers=(40, 80), accelerator="l4"
+        )
+        answer = await _ask(harness)
         assert _is_whole(answer)
-        assert "engine-refused" in stage.list_kinds()
+        assert "engine-refused" in harness.list_kinds()
 
 
 @pytest.mark.parametrize("failure", ["reset", "error"])
-async def test_an_engine_that_fails_streams_is_left_alone(failure):
-    """The quickest engine resets each stream, or answers 500, while its
-    reports and its health check are good.  Every path began there, and the
-    budget of repeats was used up within a second; then all streams failed.
+async def test_an_engine_that_fails_streams_is_avoided(failure):
+    """The fastest engine resets each stream, or answers 500, while its
+    reports and its health check are good.  If every path begins there, the
+    retry budget is used up within a second, and then all streams fail.
     """
     error = b"HTTP/1.1 500 Oops\r\nx-response-stamp: s\r\n"
     failing = {
         "reset": stubs.reset,
         "error": stubs.answer_with(stubs.make_answer(b"", error)),
     }[failure]
-    async with stubs.open_stage() as stage:
-        quick = await stage.add("i-1", failing, layers=(0, 80))
-        await stage.add("i-2", _stream(), layers=(0, 80), accelerator="a100s")
+    async with stubs.open_harness() as harness:
+        quick = await harness.add("i-1", failing, layers=(0, 80))
+        await harness.add(
+            "i-2", _stream(), layers=(0, 80), accelerator="a100s"
+        )
         for _ in range(12):
-            assert _is_whole(await _ask(stage))
+            assert _is_whole(await _ask(harness))
         assert 1 <= len(quick.callers_requests) <= 3
 
 
-async def test_no_room_is_refused_before_the_caller_leaves():
-    """No engine holds the layers.  The caller would leave after two
-    seconds; it is told before, and that nothing ran.
+async def test_lack_of_engines_is_refused_before_the_caller_disconnects():
+    """No engine has the layers loaded.  The caller disconnects after two
+    seconds; before that it gets an answer that the request did not run.
     """
-    async with stubs.open_stage() as stage:
+    async with stubs.open_harness() as harness:
         began = trio.current_time()
-        answer = await _ask(stage)
+        answer = await _ask(harness)
         assert answer.split(b" ")[1] == b"503"
         assert b"retry-after" in answer.lower()
         assert trio.current_time() - began < 1.9
 
 
-async def test_a_lost_engine_inside_the_path_is_led_around():
-    """An engine in the middle dies.  The first one waits for it, and its
-    report says so.  It is ordered to go on along another engine, and the
-    stream goes on without a second run.
+async def test_a_stream_is_rerouted_around_a_failed_inner_engine():
+    """An engine after the first one fails, and the report of the first one
+    names it.  The first engine is ordered to continue through another one,
+    and the stream continues without a second run.
     """
-    async with stubs.open_stage() as stage:
-        lost = await stage.add("i-2", stubs.stay_silent, layers=(40, 80))
+    async with stubs.open_harness() as harness:
+        lost = await harness.add("i-2", stubs.stay_silent, layers=(40, 80))
         changed = trio.Event()
         orders = []
 
@@ -271,40 +276,40 @@
             await stream.send_all(stubs.chunk(events) + stubs.END)
             await trio.sleep(0.1)
 
-        first = await stage.add("i-1", script, layers=(0, 40))
-        spare = await stage.add(
+        first = await harness.add("i-1", script, layers=(0, 40))
+        spare = await harness.add(
             "i-3", stubs.stay_silent, layers=(40, 80), accelerator="l4"
         )
-        answer = await _ask(stage)
+        answer = await _ask(harness)
         assert _read_ids(answer) == [1, 2, 3, 4, 5, 6]
         assert _is_whole(answer)
         assert orders[0]["id"] == "r1"
         assert str(spare.address) in orders[0]["path"]
         assert str(lost.address) not in orders[0]["path"]
-        assert not stage.state.health.is_usable("i-2")
+        assert not harness.state.health.is_usable("i-2")
         assert [r.target for r in first.requests].count("/stream/1") == 1
 
 
-async def test_a_silent_first_engine_is_left():
-    """The first engine falls silent and gives no report.  The stream goes
-    on at another one before the caller's two seconds are over.
+async def test_a_stream_leaves_a_silent_first_engine():
+    """The first engine becomes silent and gives no report.  The stream
+    continues on another one within the caller's timeout of two seconds.
     """
-    async with stubs.open_stage() as stage:
+    async with stubs.open_harness() as harness:
         silent = _stream(cut_after=3, then=stubs.stay_silent)
-        await stage.add("i-1", silent, layers=(0, 80))
+        await harness.add("i-1", silent, layers=(0, 80))
         began = trio.current_time()
-        async with _asking(stage) as answers:
+        async with _asking(harness) as answers:
             await trio.sleep(0.1)
-            await stage.add("i-2", _stream(), layers=(0, 80))
+            await harness.add("i-2", _stream(), layers=(0, 80))
         assert _read_ids(answers[0]) == [1, 2, 3, 4, 5, 6]
         assert _is_whole(answers[0])
         assert trio.current_time() - began < 2.0
 
 
 async def test_silence_alone_ends_no_answer():
-    """An engine pauses for 1.7 s in the middle of a stream, and there is
-    no other one.  The caller waits two seconds by itself; the answer must
-    not be cut before, and goes on when the engine does.
+    """An engine pauses for 1.7 s in the middle of a stream, and there is no
+    other one.  The caller disconnects only after two seconds, so the answer
+    must not be cut off before, and continues when the engine does.
     """
 
     async def script(received, stream):
@@ -317,54 +322,53 @@
         rest = stubs.make_events(4, 6)
         await stream.send_all(stubs.chunk(rest) + stubs.END)
 
-    async with stubs.open_stage() as stage:
-        await stage.add("i-1", script, layers=(0, 80))
-        answer = await _ask(stage)
+    async with stubs.open_harness() as harness:
+        await harness.add("i-1", script, layers=(0, 80))
+        answer = await _ask(harness)
         assert _read_ids(answer) == [1, 2, 3, 4, 5, 6]
         assert _is_whole(answer)
 
 
-async def test_a_broken_stream_waits_for_a_path_until_its_caller_leaves():
-    """The only engine dies.  Another one comes 1.7 s later, and the caller
-    is still there: the stream goes on.
+async def test_a_broken_stream_waits_for_a_path_until_its_caller_disconnects():
+    """The only engine fails.  Another one is listed 1.7 s later, while the
+    caller is still connected, and the stream continues there.
     """
-    async with stubs.open_stage() as stage:
-        await stage.add("i-1", _stream(cut_after=3), layers=(0, 80))
-        async with _asking(stage) as answers:
+    async with stubs.open_harness() as harness:
+        await harness.add("i-1", _stream(cut_after=3), layers=(0, 80))
+        async with _asking(harness) as answers:
             await trio.sleep(0.1)
-            stage.state.targets.remove("i-1", 2)
+            harness.state.targets.remove("i-1", 2)
             await trio.sleep(1.7)
-            await stage.add("i-2", _stream(), layers=(0, 80))
+            await harness.add("i-2", _stream(), layers=(0, 80))
         assert _read_ids(answers[0]) == [1, 2, 3, 4, 5, 6]
         assert _is_whole(answers[0])
 
 
-async def test_a_path_left_while_its_events_arrive_loses_none():
-    """A stream is told to leave its path again and again, at moments when
-    events have just come in or are being written.  An event that is taken
-    for sent but was not leaves a gap; a write that is broken off leaves
-    bytes that are no answer.
+async def test_leaving_a_path_while_events_arrive_loses_none():
+    """A stream leaves its path again and again, while events arrive or are
+    being written.  An event that counts as sent but was not causes a gap; an
+    interrupted write leaves an invalid answer.
     """
-    async with stubs.open_stage() as stage:
+    async with stubs.open_harness() as harness:
         for name in ("i-1", "i-2"):
-            await stage.add(name, _stream(last=300), layers=(0, 80))
+            await harness.add(name, _stream(last=300), layers=(0, 80))
 
         async def disturb():
             while True:
                 await trio.sleep(0.011)
-                for stream in tuple(stage.stalls.streams):
+                for stream in tuple(harness.stalls.streams):
                     stream.move("the test says so")
 
-        stage.nursery.start_soon(disturb)
-        answer = await _ask(stage)
+        harness.nursery.start_soon(disturb)
+        answer = await _ask(harness)
         ids = _read_ids(answer)
         assert ids == list(range(1, len(ids) + 1))
-        assert stage.list_kinds().count("path-lost") > 3
+        assert harness.list_kinds().count("path-lost") > 3
 
 
 async def test_a_slow_caller_does_not_look_like_a_silent_engine():
-    """The caller reads nothing for a second while the engine goes on.
-    Its path is sound and stays.
+    """The caller reads nothing for a second while the engine continues to
+    send.  The path works, so the stream must stay on it.
     """
     big = b"x" * 200_000
 
@@ -375,9 +379,9 @@
             await stream.send_all(stubs.chunk(event))
         await stream.send_all(stubs.END)
 
-    async with stubs.open_stage() as stage:
-        stub = await stage.add("i-1", script, layers=(0, 80))
-        stream, _ = await stage.connect()
+    async with stubs.open_harness() as harness:
+        stub = await harness.add("i-1", script, layers=(0, 80))
+        stream, _ = await harness.connect()
         await stream.send_all(
             stubs.make_request("/stream/1", "POST", **_HEADERS)
         )
@@ -387,10 +391,10 @@
         assert len(stub.callers_requests) == 1
 
 
-async def test_a_path_left_in_the_middle_of_a_write_tears_nothing():
-    """The caller is slow, so an event is half written when the path is
-    left.  The other half still goes out before anything else does: each
-    chunk that the caller reads is whole, and the ids have no gap.
+async def test_leaving_a_path_does_not_interrupt_a_write():
+    """The caller reads slowly, so an event is partly written when the stream
+    leaves its path.  The rest of the event must be written before anything
+    else: each chunk that the caller reads is whole, and the ids have no gap.
     """
     big = b"x" * 300_000
 
@@ -402,15 +406,15 @@
             await stream.send_all(stubs.chunk(event))
         await stream.send_all(stubs.END)
 
-    async with stubs.open_stage() as stage:
+    async with stubs.open_harness() as harness:
         for name in ("i-1", "i-2"):
-            await stage.add(name, script, layers=(0, 80))
-        stream, _ = await stage.connect()
+            await harness.add(name, script, layers=(0, 80))
+        stream, _ = await harness.connect()
         await stream.send_all(
             stubs.make_request("/stream/1", "POST", **_HEADERS)
         )
         await trio.sleep(0.3)
-        for watched in tuple(stage.stalls.streams):
+        for watched in tuple(harness.stalls.streams):
             watched.move("the test says so")
         answer = await stubs.read_all(stream)
         body = _join_chunks(answer.partition(b"\r\n\r\n")[2])
@@ -420,7 +424,7 @@
 
 
 def _join_chunks(data):
-    """Return a chunked body; fail where a chunk is none."""
+    """Return the content of a chunked body; fail on an invalid chunk."""
     body = b""
     while True:
         size, _, data = data.partition(b"\r\n")
@@ -433,11 +437,11 @@
         data = data[length + 2 :]
 
 
-async def test_a_detour_does_not_go_through_the_pipe_without_need():
-    """An engine inside a path is lost.  Another data centre has the layers,
-    and a whole path of its own.  What the first engines hold would have to
-    pass through the pipe between data centres for each of many streams, in
-    which time their callers leave; the stream begins anew over there.
+async def test_a_reroute_does_not_cross_data_centres_without_need():
+    """An engine inside a path fails.  Another data centre has the layers and
+    a whole path of its own.  A reroute there would send the state of each of
+    many streams through the link between data centres, and their callers
+    would disconnect meanwhile; the stream is run again over there instead.
     """
     orders = []
 
@@ -454,93 +458,93 @@
         )
         await trio.sleep_forever()
 
-    async with stubs.open_stage() as stage:
-        await stage.add("i-1", first, layers=(0, 40))
-        lost = await stage.add("i-2", stubs.stay_silent, layers=(40, 80))
+    async with stubs.open_harness() as harness:
+        await harness.add("i-1", first, layers=(0, 40))
+        lost = await harness.add("i-2", stubs.stay_silent, layers=(40, 80))
         for name, layers in (("i-3", (0, 40)), ("i-4", (40, 80))):
-            stub = await stage.add(
+            stub = await harness.add(
                 name, _stream(), layers=layers, accelerator="l4"
             )
-            target = stage.state.targets.find(name)
-            stage.state.targets.apply(
+            target = harness.state.targets.find(name)
+            harness.state.targets.apply(
                 dataclasses.replace(target, data_centre="b", revision=2)
             )
             if name == "i-3":
                 other = stub
-        answer = await _ask(stage)
+        answer = await _ask(harness)
         assert _read_ids(answer) == [1, 2, 3, 4, 5, 6]
         assert not orders
         assert other.callers_requests[-1].headers["last-event-id"] == "2"
 
 
-async def test_a_request_that_may_have_run_is_not_said_not_to_have():
-    """A path takes a request and is lost before its first event, and no
-    other one has room.  The answer was 503, which promises that nobody ran
-    the request; an engine may have.
+async def test_a_request_that_may_have_run_is_not_reported_as_not_run():
+    """A path accepts a request and fails before the first event, and no other
+    path has capacity.  A 503 answer would state that the request did not run,
+    but an engine may have run it.
     """
 
-    async with stubs.open_stage() as stage:
+    async with stubs.open_harness() as harness:
 
         async def take(received, stream):
-            stage.state.targets.remove("i-1", 5)
+            harness.state.targets.remove("i-1", 5)
             await trio.aclose_forcefully(stream)
 
-        await stage.add("i-1", take, layers=(0, 80))
-        answer = await _ask(stage)
+        await harness.add("i-1", take, layers=(0, 80))
+        answer = await _ask(harness)
         assert answer.split(b" ")[1] == b"502"
 
 
-async def test_lines_tell_which_requests_ask_for_the_same():
-    """Engines end under a request that comes again.  Each attempt has an id
-    of its own, so the lines could not tell that it was the same request, nor
-    which engine it lost and after what time.
+async def test_log_events_identify_requests_with_the_same_content():
+    """A request ends the engines that run it and is sent again.  Each attempt
+    has its own id, so the log must identify the attempts of one request, the
+    engine that each one lost, and the time it ran there.
     """
-    async with stubs.open_stage() as stage:
-        await stage.add("i-1", _stream(cut_after=3), layers=(0, 80))
-        await _ask(stage, x_request_id="r1")
-        await _ask(stage, x_request_id="r2")
-        await _ask(stage, "/stream/2", x_request_id="r3")
-    events = stage.recorder.list_events()
-    told = [e for e in events if e.kind == "request-arrived"]
-    first, second, third = (e.detail["fingerprint"] for e in told)
+    async with stubs.open_harness() as harness:
+        await harness.add("i-1", _stream(cut_after=3), layers=(0, 80))
+        await _ask(harness, x_request_id="r1")
+        await _ask(harness, x_request_id="r2")
+        await _ask(harness, "/stream/2", x_request_id="r3")
+    events = harness.recorder.list_events()
+    arrived = [e for e in events if e.kind == "request-arrived"]
+    first, second, third = (e.detail["fingerprint"] for e in arrived)
     assert first == second != third
     lost = [e for e in events if e.kind == "path-lost"]
     assert {e.target for e in lost} == {"i-1"}
     assert all(0.0 < e.detail["ran_for"] < 0.5 for e in lost[:1])
 
 
-async def test_an_engine_that_cannot_be_reached_is_none_that_it_ran_on():
-    """Two engines end together, and their entries stay for seconds.  A stream
-    loses the first one and cannot reach the second.  Its route allows runs
-    on two engines; the second counted as one, so the stream waited beside a
-    third until its caller had left.
+async def test_an_unreachable_engine_does_not_count_as_a_run():
+    """Two engines end together, and their entries stay listed for seconds.  A
+    stream loses the first one and cannot reach the second.  Its route allows
+    runs on two engines.  If the second one counted, the stream would not use
+    a third one and would wait until its caller disconnects.
     """
-    async with stubs.open_stage() as stage:
-        dying = await stage.add("i-1", _stream(cut_after=3), layers=(0, 80))
-        ended = await stage.add("i-2", _stream(), layers=(0, 80))
-        target = stage.state.targets.find("i-2")
+    async with stubs.open_harness() as harness:
+        dying = await harness.add("i-1", _stream(cut_after=3), layers=(0, 80))
+        ended = await harness.add("i-2", _stream(), layers=(0, 80))
+        target = harness.state.targets.find("i-2")
         nobody = dataclasses.replace(ended.address, port=1)
-        stage.state.targets.apply(
+        harness.state.targets.apply(
             dataclasses.replace(target, address=nobody, revision=2)
         )
-        third = await stage.add("i-3", _stream(), layers=(0, 80))
-        answer = await _ask(stage)
+        third = await harness.add("i-3", _stream(), layers=(0, 80))
+        answer = await _ask(harness)
         assert _is_whole(answer)
         assert dying.callers_requests
         assert third.callers_requests
 
 
 @pytest.mark.parametrize(
-    ("kept", "led"), [((40, 80), False), ((50, 80), True)]
+    ("kept", "rerouted"), [((40, 80), False), ((50, 80), True)]
 )
-async def test_only_what_uses_layers_that_are_given_up_is_led_around(
-    kept, led
+async def test_only_streams_through_unloaded_layers_are_rerouted(
+    kept, rerouted
 ):
-    """To close a gap the engines of a data centre each give up a few layers
-    and take others, and some orders for that get no answer for seconds.  New
-    streams were sent through the layers that they keep and led elsewhere at
-    once, each by an order: thousands of them, which moved what the engines
-    held through the pipe, until hardly a stream came to its end.
+    """To close a gap, the engines of a data centre each unload a few layers
+    and load others, and some orders for that get no answer for seconds.  If
+    new streams through layers that the engines keep are rerouted at once,
+    thousands of orders move the engines' state through the link between data
+    centres, and hardly any stream completes.
     """
     orders = []
 
@@ -557,24 +561,24 @@
             await trio.sleep(0.03)
         await stream.send_all(stubs.END)
 
-    async with stubs.open_stage() as stage:
-        await stage.add("i-1", first, layers=(0, 40))
-        await stage.add("i-2", stubs.stay_silent, layers=(40, 80))
-        await stage.add(
+    async with stubs.open_harness() as harness:
+        await harness.add("i-1", first, layers=(0, 40))
+        await harness.add("i-2", stubs.stay_silent, layers=(40, 80))
+        await harness.add(
             "i-3", stubs.stay_silent, layers=(40, 80), accelerator="t4"
         )
         holding = Holding(LayerRange(*kept), True, moving=True)
-        stage.nursery.start_soon(_ask, stage)
+        harness.nursery.start_soon(_ask, harness)
         await trio.sleep(0.2)
-        stage.state.holdings.note("i-2", holding)
+        harness.state.holdings.note("i-2", holding)
         await trio.sleep(0.4)
-        assert bool(orders) == led
+        assert bool(orders) == rerouted
 
 
-async def test_streams_do_not_look_silent_for_our_own_delay():
-    """This process was held up for longer than streams may be silent.  Their
-    events lie there unread; taken for silence, every engine of every path is
-    asked, and streams are led away from sound engines.
+async def test_a_delay_of_this_process_does_not_count_as_silence():
+    """This process is delayed for longer than streams may be silent, and
+    their events are still unread.  Treated as silence, that would cause a
+    check of every engine of every path, and streams would leave healthy ones.
     """
     asked = []
 
@@ -590,9 +594,9 @@
             await trio.sleep(0.02)
         await stream.send_all(stubs.END)
 
-    async with stubs.open_stage() as stage:
-        await stage.add("i-1", script, layers=(0, 80))
-        stage.nursery.start_soon(_ask, stage)
+    async with stubs.open_harness() as harness:
+        await harness.add("i-1", script, layers=(0, 80))
+        harness.nursery.start_soon(_ask, harness)
         await trio.sleep(0.3)
         for _ in range(3):
             time.sleep(0.6)  # noqa: ASYNC251
