--- a/tests/gateway/test_crashes.py
+++ b/tests/gateway/test_crashes.py
@@ -148,7 +148,7 @@
         for number in range(3):
             routed = types.SimpleNamespace(
                 fingerprint=f"{number:016x}",
-                marks=types.SimpleNamespace(request=f"r{number}"),
+                caller_headers=types.SimpleNamespace(request=f"r{number}"),
             )
             harness.crashes.note_lost(["i-1"], routed, 0.1)
         await trio.sleep(0.2)
