--- a/magnoliacove/gateway/rerouting.py
+++ b/magnoliacove/gateway/rerouting.py
@@ -32,9 +32,9 @@
 # milliseconds; a stream that waits for one is already late, and its caller
 # disconnects after two seconds.
 _ORDER_TIMEOUT = 0.4
-# Seconds without data after which a stream that cannot be rerouted is
-# restarted.  A stream that still receives events does not pass through the
-# suspected engine, or the suspicion is wrong.
+# Seconds without data after which a stream that cannot be rerouted leaves its
+# path.  A stream that still receives events does not pass through the suspected
+# engine, or the suspicion is wrong; it is not run again.
 _MIN_SILENCE = 0.15
 
 
@@ -128,7 +128,7 @@
         if path.stages[0].target in unusable:
             return False
         if not self._state.may_repeat(stream.fingerprint):
-            # The request may crash the engine that it is rerouted to.
+            # The request may crash the engine that it is rerouted to, too.
             return False
         prompt, answer = stream.read_tokens()
         state = self._state
--- a/magnoliacove/gateway/stalls.py
+++ b/magnoliacove/gateway/stalls.py
@@ -135,7 +135,7 @@
                     nursery, stream, unusable, f"{names} is lost to the path"
                 )
 
-    # Silence.
+    # Checks of silent streams.
 
     def _check_silence(self, nursery: trio.Nursery) -> None:
         now = trio.current_time()
