--- a/magnoliacove/gateway/rerouting.py
+++ b/magnoliacove/gateway/rerouting.py
@@ -33,8 +33,8 @@
 # disconnects after two seconds.
 _ORDER_TIMEOUT = 0.4
 # Seconds without data after which a stream that cannot be rerouted leaves its
-# path.  A stream that still receives events does not pass through the suspected
-# engine, or the suspicion is wrong; it is not run again.
+# path.  A stream that still receives events does not pass through the
+# suspected engine, or the suspicion is wrong; it is not run again.
 _MIN_SILENCE = 0.15
 
 
