--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -138,8 +138,8 @@
 
 
 async def test_a_stream_that_cannot_continue_looks_incomplete():
-    """No other engine is available.  The answer closes without the end of its
-    body, so that the caller detects that it is incomplete.
+    """No other engine is available.  The connection closes without the end of
+    the body, so that the caller detects that the answer is incomplete.
     """
     async with stubs.open_harness() as harness:
         await harness.add("i-1", _stream(cut_after=3), layers=(0, 80))
