--- a/magnoliacove/gateway/engine_checks.py
+++ b/magnoliacove/gateway/engine_checks.py
@@ -13,7 +13,7 @@
 from magnoliacove.directory.listed import ListedTarget
 from magnoliacove.gateway.channels import TargetError
 from magnoliacove.gateway.engines import EngineCalls
-from magnoliacove.gateway.engines import was_held_up
+from magnoliacove.gateway.engines import was_process_delayed
 from magnoliacove.gateway.state import GatewayState
 from magnoliacove.platform.engines import EngineReport
 
@@ -84,7 +84,7 @@
                     nursery.start_soon(fetch, delay, nursery.cancel_scope)
         if reports:
             return reports[0]
-        if not was_held_up(began, _REPORT_TIMEOUT):
+        if not was_process_delayed(began, _REPORT_TIMEOUT):
             self._state.health.suspect(
                 target.name, f"{why}, and it gives no report"
             )
--- a/magnoliacove/gateway/notices.py
+++ b/magnoliacove/gateway/notices.py
@@ -2,7 +2,7 @@
 
 from magnoliacove.directory.health import Health
 from magnoliacove.gateway.channels import Answer
-from magnoliacove.gateway.channels import Hear
+from magnoliacove.gateway.channels import AnswerListener
 from magnoliacove.limits.backpressure import BackpressureBook
 from magnoliacove.platform.notices import read_notice
 
@@ -13,7 +13,9 @@
 _MISDIRECTED = 421
 
 
-def make_notice_handler(book: BackpressureBook, health: Health) -> Hear:
+def make_notice_handler(
+    book: BackpressureBook, health: Health
+) -> AnswerListener:
     """Return a handler for each answer to a request, report or order.
 
     :param health: suspicions, which are shared with the other gateways.
--- a/magnoliacove/gateway/process.py
+++ b/magnoliacove/gateway/process.py
@@ -99,7 +99,7 @@
         backpressure = BackpressureBook(recorder)
         grants = GrantBook(settings.name)
         permits = Permits(backpressure, grants)
-        pool = ChannelPool(hear=make_notice_handler(backpressure, health))
+        pool = ChannelPool(on_answer=make_notice_handler(backpressure, health))
         self.state = GatewayState(
             name=settings.name,
             data_centre=settings.data_centre,
@@ -362,7 +362,7 @@
             state.candidates.forget(listed)
             state.backpressure.forget(listed)
             state.permits.forget(listed)
-            self._stalls.forget(listed)
+            self._stalls.discard_unlisted(listed)
             self._crashes.forget()
             await state.pool.close_expired(listed)
 
--- a/magnoliacove/placement/controller.py
+++ b/magnoliacove/placement/controller.py
@@ -23,7 +23,7 @@
 from magnoliacove.directory.targets import TargetList
 from magnoliacove.gateway.channels import TargetError
 from magnoliacove.gateway.engines import EngineCalls
-from magnoliacove.gateway.engines import was_held_up
+from magnoliacove.gateway.engines import was_process_delayed
 from magnoliacove.limits.load import LoadBook
 from magnoliacove.limits.permits import Permits
 from magnoliacove.placement.balance import find_improvement
@@ -217,7 +217,7 @@
             self._process_report(target, engine, report)
             return
         refused = engine.failures >= _FAILURES_TO_SUSPECT
-        if not refused and was_held_up(began, timeout):
+        if not refused and was_process_delayed(began, timeout):
             # This process was delayed itself.  Otherwise all gateways would
             # suspect all engines with a pending report at once and reroute
             # all streams around them.
--- a/tests/gateway/test_peering.py
+++ b/tests/gateway/test_peering.py
@@ -38,16 +38,16 @@
     return peers.Heartbeat(**{**values, **changes})
 
 
-def _make_exchange(stage, tmp_path):
+def _make_exchange(harness, tmp_path):
     path = samples.write_settings(tmp_path / "s.json", ip="127.0.0.1")
-    follower = StoreFollower(stage.state, object_api.ObjectStore())
+    follower = StoreFollower(harness.state, object_api.ObjectStore())
     return PeerExchange(
-        stage.state,
+        harness.state,
         follower,
         settings.read_settings(path),
         1,
         lambda: False,
-        stage.crashes,
+        harness.crashes,
     )
 
 
@@ -56,15 +56,15 @@
     still suspect it report it to the others, which would report it back, so
     the suspicion of a target that no longer exists would circulate forever.
     """
-    async with stubs.open_stage() as stage:
-        await stage.add("i-1", stubs.stay_silent)
-        exchange = _make_exchange(stage, tmp_path)
+    async with stubs.open_harness() as harness:
+        await harness.add("i-1", stubs.stay_silent)
+        exchange = _make_exchange(harness, tmp_path)
         suspicions = tuple(
             peers.ReportedSuspicion(name, 0.1, "no report", False)
             for name in ("i-1", "i-9")
         )
         exchange._take_heartbeat(_make_heartbeat(suspicions=suspicions))
-        suspected = [s.target for s in stage.state.health.list_suspicions()]
+        suspected = [s.target for s in harness.state.health.list_suspicions()]
         assert suspected == ["i-1"]
 
 
@@ -73,32 +73,32 @@
     reach it.  Its list still has an engine that the snapshot lacks.  A peer's
     list, with a lower revision but a later era, must replace it.
     """
-    async with stubs.open_stage() as stage:
-        await stage.add("i-1", stubs.stay_silent)
-        stage.state.targets.replace(
-            stage.state.targets.list_all(),
+    async with stubs.open_harness() as harness:
+        await harness.add("i-1", stubs.stay_silent)
+        harness.state.targets.replace(
+            harness.state.targets.list_all(),
             join_revision(1, 90),
             after_outage=False,
         )
-        exchange = _make_exchange(stage, tmp_path)
+        exchange = _make_exchange(harness, tmp_path)
         exchange._store.era.note(1, "the store")
         for sequence in (1, 2):
             heartbeat = _make_heartbeat(store_era=2, sequence=sequence)
             exchange._take_heartbeat(heartbeat)
         reported = [
             event
-            for event in stage.state.recorder.list_events()
+            for event in harness.state.recorder.list_events()
             if event.kind == "store-restored"
         ]
         assert [event.detail["era"] for event in reported] == [1, 2]
         snapshot = PeerSnapshot(b"", (), join_revision(2, 40))
         exchange._take_snapshot(PeerSnapshot.decode(snapshot.encode()), "g-2")
-        assert not stage.state.targets.list_all()
+        assert not harness.state.targets.list_all()
 
 
 async def test_a_leader_yields_to_a_peer_that_reaches_the_store(tmp_path):
-    async with stubs.open_stage() as stage:
-        exchange = _make_exchange(stage, tmp_path)
+    async with stubs.open_harness() as harness:
+        exchange = _make_exchange(harness, tmp_path)
         assert not exchange.has_acting_peer_with_store()
         for reachable in (False, True):
             heartbeat = _make_heartbeat(
@@ -117,8 +117,8 @@
     the store.  If it counted, no gateway would place layers until it is gone,
     and paths with a gap would stay closed for eight seconds.
     """
-    async with stubs.open_stage() as stage:
-        exchange = _make_exchange(stage, tmp_path)
+    async with stubs.open_harness() as harness:
+        exchange = _make_exchange(harness, tmp_path)
         leaving = _make_heartbeat(leaving=True)
         other = _make_heartbeat(
             name="z-3", address="127.0.0.1:3", store_reachable=False
@@ -132,8 +132,8 @@
 
 
 async def test_the_store_outage_is_measured_from_the_first_failure(tmp_path):
-    async with stubs.open_stage() as stage:
-        exchange = _make_exchange(stage, tmp_path)
+    async with stubs.open_harness() as harness:
+        exchange = _make_exchange(harness, tmp_path)
         assert exchange.measure_store_outage() > 1e6
         exchange._store.record_answer()
         assert exchange.measure_store_outage() == 0.0
@@ -150,8 +150,8 @@
     is too long is not sent.  The others would consider the leader unreachable
     and all request its lease from the store.
     """
-    async with stubs.open_stage() as stage:
-        exchange = _make_exchange(stage, tmp_path)
+    async with stubs.open_harness() as harness:
+        exchange = _make_exchange(harness, tmp_path)
         exchange._is_acting = lambda: True
         rng = random.Random(1)
         names = [f"i-{rng.randrange(16**10):010x}" for _ in range(engines)]
@@ -159,7 +159,7 @@
             first = rng.randrange(70)
             layers = LayerRange(first, first + 10)
             status = EngineStatus(layers, used=rng.uniform(0.0, 1e6))
-            stage.state.holdings.note(name, status, rng.random())
+            harness.state.holdings.note(name, status, rng.random())
         reported = set()
         for sequence in range(40):
             heartbeat = exchange._make_heartbeat(sequence, ())
--- a/tests/gateway/test_restored_store.py
+++ b/tests/gateway/test_restored_store.py
@@ -72,8 +72,8 @@
 
 @contextlib.asynccontextmanager
 async def _follow(nursery):
-    stage = stubs.Stage(nursery)
-    stage.state.routes = None
+    harness = stubs.GatewayHarness(nursery)
+    harness.state.routes = None
     store = object_api.ObjectStore()
     app, listener = (
         object_api.make_app(store),
@@ -81,13 +81,13 @@
     )
     url = await nursery.start(web.run_server, app, listener)
     api = platform.HttpObjectApi(url, timeout=1.0)
-    scenario = _Scenario(store, stage.state)
+    scenario = _Scenario(store, harness.state)
     for name in ("i-1", "i-2"):
         await scenario.write_entry(name)
     await scenario.write(
         "config/main", {**samples.CONFIGURATION, "version": 7}
     )
-    nursery.start_soon(StoreFollower(stage.state, api).run)
+    nursery.start_soon(StoreFollower(harness.state, api).run)
     await scenario.wait_names(["i-1", "i-2"], 3.0)
     yield scenario, api
 
