--- a/magnoliacove/gateway/relay.py
+++ b/magnoliacove/gateway/relay.py
@@ -120,7 +120,7 @@
             )
         account, priority = self._authenticate(table, route, caller_headers)
         time_limit = min(
-            route.timeout, caller_headers.patience or _DEFAULT_TIMEOUT
+            route.timeout, caller_headers.timeout or _DEFAULT_TIMEOUT
         )
         self._state.seen_traffic = True
         return RoutedRequest(
