--- a/magnoliacove/limits/admission.py
+++ b/magnoliacove/limits/admission.py
@@ -43,7 +43,11 @@
 
 @dataclass(eq=False)
 class _AccountQueue:
-    """The waiting requests of one account, by priority."""
+    """The waiting requests of one account, by priority.
+
+    :param virtual_time: grows by 1 / weight with each admitted request;
+        within a priority, the queue with the lowest value goes first.
+    """
 
     weight: float = 1.0
     virtual_time: float = 0.0
@@ -152,6 +156,7 @@
             self._refuse(self._mean_duration)
 
     def _leave(self, queue: _AccountQueue, waiter: _Waiter) -> None:
+        """Remove a waiter, or free its slot if it was admitted meanwhile."""
         if waiter.admitted:
             self.running -= 1
             self.fill()
@@ -166,7 +171,7 @@
         """Refuse the waiting requests that are expected to be late.
 
         Requests may take longer than was expected when a request joined the
-        queue.  Keeping the request until its deadline would only cost the
+        queue.  Keeping a request until its deadline would only cost the
         caller the time in which it could try elsewhere.
         """
         now = trio.current_time()
@@ -196,7 +201,7 @@
     ) -> float:
         """Return the seconds until a request in a queue is admitted.
 
-        :param ahead: requests of the same account that are admitted before.
+        :param ahead: requests of the same account that are admitted first.
         """
         if capacity <= 0:
             return self._mean_duration
@@ -212,6 +217,7 @@
         )
 
     def _charge(self, queue: _AccountQueue) -> None:
+        """Advance a queue's virtual time by one request."""
         start = max(queue.virtual_time, self._virtual_time)
         self._virtual_time = start
         queue.virtual_time = start + 1.0 / queue.weight
--- a/magnoliacove/limits/backpressure.py
+++ b/magnoliacove/limits/backpressure.py
@@ -136,7 +136,7 @@
         )
 
     def take_reported(
-        self, entry: str, limits: Iterable[ReportedLimit]
+        self, gateway: str, limits: Iterable[ReportedLimit]
     ) -> None:
         """Apply the limits that another gateway received from targets."""
         now = self._read_time()
@@ -151,7 +151,7 @@
                 self._recorder.record(
                     "target-notice",
                     target=reported.target,
-                    source=entry,
+                    source=gateway,
                     rate_limit=reported.rate,
                     age=round(reported.age, 3),
                 )
--- a/magnoliacove/limits/crashes.py
+++ b/magnoliacove/limits/crashes.py
@@ -28,8 +28,8 @@
 _MIN_CRASHES = 3
 # A request that ran at the same crashes as another one counts as the cause
 # only after this many more crashes, and this many seconds after the third:
-# the next crashes usually distinguish the two.  Callers and engines tolerate
-# three more runs later than three seconds after it.
+# the next crashes usually distinguish the two.  At most three more crashes are
+# acceptable later than three seconds after the third one.
 _AMBIGUOUS_CRASHES = 2
 _AMBIGUOUS_SECONDS = 2.0
 # Minimum number of callers' attempts that the crashes come from.  One attempt
@@ -337,7 +337,7 @@
         )
 
     def _rank(self, fingerprint: str, ends: set[str]) -> tuple[int, float]:
-        """Return a sort key: most crashes first, then shortest runs."""
+        """Return a sort key, highest for most crashes, then shortest runs."""
         crashes = self._requests[fingerprint].crashes
         return len(ends), -sum(crashes[end][0].seconds for end in ends)
 
--- a/magnoliacove/limits/load.py
+++ b/magnoliacove/limits/load.py
@@ -1,7 +1,7 @@
-"""The load of each target: own requests and those of the other entries.
+"""The load of each target: own requests and those of the other gateways.
 
 The engines' own reports lag.  The requests that this process sends are
-counted at once, and those of the other entries with their next heartbeat.
+counted at once, and those of the other gateways with their next heartbeat.
 """
 
 from collections.abc import Iterable
@@ -57,18 +57,18 @@
 
 @dataclass(frozen=True)
 class _Report:
-    """The load that another entry reported."""
+    """The load that another gateway reported."""
 
     loads: Mapping[str, TargetLoad]
     crossings: int
 
 
 class LoadBook:
-    """The load of every target, from this entry and all others.
+    """The load of every target, from this gateway and all others.
 
-    The load of other entries is kept as running sums: an entry's previous
+    The load of other gateways is kept as running sums: a gateway's previous
     report is subtracted and its new one added.  Adding up the reports of all
-    entries at each heartbeat would cost the square of their number, and
+    gateways at each heartbeat would cost the square of their number, and
     callers of small instances in a large fleet would wait for it.
     """
 
@@ -81,7 +81,7 @@
 
     @property
     def all_crossings(self) -> int:
-        """Hops between data centres of all requests of all entries."""
+        """Hops between data centres of all requests of all gateways."""
         return self.crossings + self._other_crossings
 
     def reserve_path(self, path: Path, tokens: float) -> Reservation:
@@ -107,13 +107,13 @@
                 del self._own[target]
 
     def read(self, target: str) -> TargetLoad:
-        """Return the known load of a target, from all entries."""
+        """Return the known load of a target, from all gateways."""
         own = self._own.get(target, _NO_LOAD)
         others = self.read_others(target)
         return own.add(others.requests, others.token_layers)
 
     def read_others(self, target: str) -> TargetLoad:
-        """Return the load of a target that other entries reported."""
+        """Return the load of a target that other gateways reported."""
         total = self._sums.get(target)
         if total is None:
             return _NO_LOAD
@@ -124,20 +124,20 @@
         return self._own
 
     def take_others(
-        self, entry: str, loads: Mapping[str, TargetLoad], crossings: int
+        self, gateway: str, loads: Mapping[str, TargetLoad], crossings: int
     ) -> None:
-        """Replace the load that another entry reported."""
-        self._subtract(entry)
+        """Replace the load that another gateway reported."""
+        self._subtract(gateway)
         report = _Report(loads, crossings)
-        self._others[entry] = report
+        self._others[gateway] = report
         self._other_crossings += crossings
         for target, load in loads.items():
             self._add(target, load.requests, load.token_layers)
 
-    def forget(self, entries: Iterable[str]) -> None:
-        """Discard the reports of entries that are unreachable."""
-        for entry in entries:
-            self._subtract(entry)
+    def forget(self, gateways: Iterable[str]) -> None:
+        """Discard the reports of gateways that are unreachable."""
+        for gateway in gateways:
+            self._subtract(gateway)
 
     def _reserve(self, reservation: Reservation) -> Reservation:
         self.crossings += reservation.crossings
@@ -146,9 +146,9 @@
             self._own[target] = load.add(1, token_layers)
         return reservation
 
-    def _subtract(self, entry: str) -> None:
-        """Subtract an entry's last report from the sums."""
-        previous = self._others.pop(entry, None)
+    def _subtract(self, gateway: str) -> None:
+        """Subtract a gateway's last report from the sums."""
+        previous = self._others.pop(gateway, None)
         if previous is None:
             return
         self._other_crossings -= previous.crossings
--- a/magnoliacove/limits/permits.py
+++ b/magnoliacove/limits/permits.py
@@ -52,7 +52,7 @@
     def is_leaving(self, target: str) -> bool:
         """Return whether a target has announced that it leaves.
 
-        It may still be queried, and may be told how to finish its runs.
+        It may still receive queries, and orders on how to end its runs.
         """
         return self._book.is_leaving(target)
 
@@ -80,8 +80,9 @@
     def note_sent(self, targets: Iterable[str]) -> None:
         """Count a request that is sent to some targets.
 
-        A request that passes a target beyond its limit does not reduce the
-        requests that the target may be sent later.
+        A request that is sent through a target beyond the target's limit is
+        not counted, so it does not reduce the requests that may be sent
+        later.
         """
         for target in targets:
             if self._grants.may_send(target):
@@ -90,7 +91,7 @@
     def try_call(self, target: str) -> bool:
         """Count an own query to a target and return whether it may be sent.
 
-        A query counts as much as a caller's request.
+        A query uses as much of the limit as a caller's request.
         """
         if self._book.read_backoff(target) > 0.0:
             self.withheld += 1
--- a/magnoliacove/limits/quarantine.py
+++ b/magnoliacove/limits/quarantine.py
@@ -1,9 +1,9 @@
 """Quarantine of requests that crash their targets.
 
 A quarantine blocks a request for a limited time.  Then one gateway admits a
-single trial request, and after as long again each gateway does.  If a trial
-is answered, the quarantine ends everywhere; if it crashes its target, a
-longer quarantine begins.
+single trial request.  After the same time has passed once more, each gateway
+admits one.  If a trial is answered, the quarantine ends everywhere; if it
+crashes its target, a longer quarantine begins.
 """
 
 from collections.abc import Callable
@@ -33,10 +33,10 @@
 # Seconds within which a trial request has crashed its target or has shown that
 # it does not.
 _TRIAL_TIME = 5.0
-# Seconds until a quarantine that has lasted twice its time expires; afterwards
-# three targets would have to crash again.  A request that arrives once in
-# minutes, at any of 330 gateways, seldom arrives at the one that admits the
-# first trial.
+# Seconds for which a quarantine is kept after every gateway may admit trials.
+# Once it has expired, three targets would have to crash again.  A request that
+# arrives once in minutes, at any of 330 gateways, seldom arrives at the one
+# that admits the first trial.
 _RETENTION = 600.0
 # Minimum `Retry-After` in seconds.
 _MIN_WAIT = 1.0
@@ -122,7 +122,7 @@
     def admit(self, fingerprint: str) -> float:
         """Return 0 when a request may run, else seconds until it may.
 
-        Once the quarantine has lasted its time, trial requests are admitted
+        Once the quarantine's duration has passed, trial requests are admitted
         one at a time, if this gateway may admit them.
         """
         quarantine = self.find(fingerprint)
@@ -136,7 +136,7 @@
                 "quarantine-tried",
                 fingerprint=fingerprint,
                 round=quarantine.round,
-                why="the quarantine has lasted its time",
+                why="the quarantine's duration has passed",
             )
             return 0.0
         self.refused += 1
--- a/magnoliacove/limits/retries.py
+++ b/magnoliacove/limits/retries.py
@@ -11,7 +11,7 @@
 __all__ = ["RetryBudget", "SharedRetryBudget"]
 
 # Maximum fraction of the fleet's budget that is used: the retries of the other
-# entries are known one heartbeat late.
+# gateways are known one heartbeat late.
 _USABLE_FRACTION = 0.7
 
 
@@ -48,10 +48,10 @@
 
 
 class SharedRetryBudget:
-    """Bounds the retries of all entries together.
+    """Bounds the retries of all gateways together.
 
     In each window a service may get a fraction of its requests, plus a fixed
-    number, as retries.  Each entry counts its own retries and receives the
+    number, as retries.  Each gateway counts its own retries and receives the
     counts of the others in their heartbeats.
 
     :param ratio: retries allowed for each request.
@@ -98,15 +98,15 @@
         return {name: self._count(name) for name in names}
 
     def take_others(
-        self, entry: str, counts: Mapping[str, tuple[int, int]]
+        self, gateway: str, counts: Mapping[str, tuple[int, int]]
     ) -> None:
-        """Replace the counts that another entry reported."""
-        self._others[entry] = counts
+        """Replace the counts that another gateway reported."""
+        self._others[gateway] = counts
 
-    def forget(self, entries: list[str]) -> None:
-        """Discard the counts of entries that are unreachable."""
-        for entry in entries:
-            self._others.pop(entry, None)
+    def forget(self, gateways: list[str]) -> None:
+        """Discard the counts of gateways that are unreachable."""
+        for gateway in gateways:
+            self._others.pop(gateway, None)
 
     def _count(self, service: str) -> tuple[int, int]:
         return self._requests.count(service), self._retries.count(service)
--- a/magnoliacove/limits/unreported.py
+++ b/magnoliacove/limits/unreported.py
@@ -1,10 +1,10 @@
-"""Estimates of requests that other entries send but have not yet reported.
+"""Estimates of requests that other gateways send but have not yet reported.
 
 Loads are known from heartbeats, which become less frequent as the number of
-entries grows.  The requests that an entry sends after its last heartbeat are
+gateways grows.  The requests that a gateway sends after its last heartbeat are
 on the engines all the same, and as many again are sent before the other
-entries receive a report of a choice that is made now.  Their number follows
-from each entry's request rate and from the time since its last heartbeat.
+gateways receive a report of a choice that is made now.  Their number follows
+from each gateway's request rate and from the time since its last heartbeat.
 """
 
 from collections.abc import Callable
@@ -20,10 +20,10 @@
 
 __all__ = ["UnreportedRequests"]
 
-# Seconds over which an entry's requests are counted: long enough to measure a
+# Seconds over which a gateway's requests are counted: long enough to measure a
 # few requests per second, short enough to show a burst.
 _WINDOW = 2.0
-# Minimum seconds by which a count is divided: the first request of an entry
+# Minimum seconds by which a count is divided: the first request of a gateway
 # that has just started says little about the next one.
 _MIN_WINDOW = 1.0
 # Factor on the unreported requests that gives the range of positions: the
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class _RateReport:
-    """An entry's requests per second for each service, and when received."""
+    """A gateway's requests per second for each service, and when received."""
 
     rates: Mapping[str, float]
     received_at: float
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True)
 class _Sum:
-    """Sums over all entries: rates, and rates times their receipt times."""
+    """Sums over all gateways: rates, and rates times their receipt times."""
 
     rate: float = 0.0
     rate_by_time: float = 0.0
@@ -53,11 +53,11 @@
 
 
 class UnreportedRequests:
-    """Estimates the requests of other entries that no heartbeat reports yet.
+    """Estimates the requests of other gateways that no heartbeat reports yet.
 
-    An entry that has just started and reports no requests is assumed to have
-    as many as this one.  When all entries start together, callers wait for
-    them, and each entry gets several requests as soon as it can serve.  If
+    A gateway that has just started and reports no requests is assumed to have
+    as many as this one.  When all gateways start together, callers wait for
+    them, and each gateway gets several requests as soon as it can serve.  If
     each assumed the others to be idle, all would send their requests along
     the same path.
 
@@ -68,7 +68,7 @@
         self, read_time: Callable[[], float] = trio.current_time
     ) -> None:
         self._read_time = read_time
-        self._entries: dict[str, _RateReport] = {}
+        self._gateways: dict[str, _RateReport] = {}
         self._starting: set[str] = set()
         self._sums: dict[str, _Sum] = {}
         self._own = WindowCounts(_WINDOW, read_time)
@@ -76,7 +76,7 @@
 
     @property
     def counted_for(self) -> float:
-        """The seconds over which this entry's requests are counted."""
+        """The seconds over which this gateway's requests are counted."""
         return min(_WINDOW, self._read_time() - self._started)
 
     def note_request(self, service: str) -> None:
@@ -84,48 +84,48 @@
         self._own.note(service)
 
     def list_counts(self) -> dict[str, int]:
-        """Return this entry's requests of each service in the window."""
+        """Return this gateway's requests of each service in the window."""
         return {name: self._own.count(name) for name in self._own.list_names()}
 
-    def read_pace(self, service: str, entry: str = "") -> float:
-        """Return the requests per second that an entry had for a service.
+    def read_pace(self, service: str, gateway: str = "") -> float:
+        """Return the requests per second that a gateway had for a service.
 
-        :param entry: another entry, or "" for this one.
+        :param gateway: another gateway, or "" for this one.
         """
-        if entry:
-            report = self._entries.get(entry)
+        if gateway:
+            report = self._gateways.get(gateway)
             return report.rates.get(service, 0.0) if report else 0.0
         seconds = max(self.counted_for, _MIN_WINDOW)
         return self._own.count(service) / seconds
 
     def take_others(
         self,
-        entry: str,
+        gateway: str,
         counts: Mapping[str, int],
         seconds: float,
     ) -> None:
-        """Replace the counts that another entry reported.
+        """Replace the counts that another gateway reported.
 
         :param counts: requests of each service.
-        :param seconds: the time over which the entry counted them.
+        :param seconds: the time over which the gateway counted them.
         """
-        self._subtract(entry)
+        self._subtract(gateway)
         rates = {
             service: requests / max(seconds, _MIN_WINDOW)
             for service, requests in counts.items()
         }
         if seconds < _MIN_WINDOW and not any(counts.values()):
-            self._starting.add(entry)
+            self._starting.add(gateway)
         report = _RateReport(rates, self._read_time())
-        self._entries[entry] = report
+        self._gateways[gateway] = report
         for service, rate in rates.items():
             total = self._sums.get(service, _Sum())
             self._sums[service] = total.add(rate, report.received_at)
 
-    def forget(self, entries: Iterable[str]) -> None:
-        """Discard the reports of entries that are unreachable."""
-        for entry in entries:
-            self._subtract(entry)
+    def forget(self, gateways: Iterable[str]) -> None:
+        """Discard the reports of gateways that are unreachable."""
+        for gateway in gateways:
+            self._subtract(gateway)
 
     def sample_ahead(
         self, service: str, rng: random.Random, displaced: int = 0
@@ -136,7 +136,7 @@
         routed by the same state assume different positions, and their choices
         together come out as if they were made one after the other.
 
-        :param displaced: requests that their entries reroute now.
+        :param displaced: requests that their gateways reroute now.
         """
         total = self._sums.get(service, _Sum())
         unreported, seconds = 0.0, 0.0
@@ -151,9 +151,9 @@
         expected += displaced
         return RequestsAhead(int(rng.uniform(0.0, expected + 1.0)), seconds)
 
-    def _subtract(self, entry: str) -> None:
-        self._starting.discard(entry)
-        previous = self._entries.pop(entry, None)
+    def _subtract(self, gateway: str) -> None:
+        self._starting.discard(gateway)
+        previous = self._gateways.pop(gateway, None)
         if previous is None:
             return
         for service, rate in previous.rates.items():
--- a/tests/limits/test_capacity.py
+++ b/tests/limits/test_capacity.py
@@ -141,8 +141,8 @@
     assert not book.list_own()
 
 
-def test_retries_of_all_entries_share_one_bound():
-    """Three entries observe the same failure, and each would retry.  The
+def test_retries_of_all_gateways_share_one_bound():
+    """Three gateways observe the same failure, and each would retry.  The
     retries of the others count, so together they stay below the bound.
     """
     budgets = [SharedRetryBudget(0.2, 20, 10.0, lambda: 0.0) for _ in "abc"]
--- a/tests/limits/test_load.py
+++ b/tests/limits/test_load.py
@@ -1,4 +1,4 @@
-"""The sums of the loads that other entries report."""
+"""The sums of the loads that other gateways report."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -19,21 +19,21 @@
 
 
 @given(st.lists(_REPORTS, max_size=40))
-def test_sums_are_those_of_the_last_report_of_each_entry(reports):
-    """Entries report in any order, repeat reports, leave and return.
+def test_sums_are_those_of_the_last_report_of_each_gateway(reports):
+    """Gateways report in any order, repeat reports, leave and return.
 
-    A heartbeat may be lost, be duplicated or belong to a restarted entry.
+    A heartbeat may be lost, be duplicated or belong to a restarted gateway.
     After each one the sums equal those of all last reports; a sum that
     drifted would keep callers off idle engines permanently.
     """
     book, last = LoadBook(), {}
-    for entry, report in reports:
+    for gateway, report in reports:
         if report is None:
-            last.pop(entry, None)
-            book.forget([entry])
+            last.pop(gateway, None)
+            book.forget([gateway])
         else:
-            last[entry] = report
-            book.take_others(entry, *report)
+            last[gateway] = report
+            book.take_others(gateway, *report)
         for target in ("i-1", "i-2", "i-3"):
             reported = [
                 loads.get(target, TargetLoad()) for loads, _ in last.values()
@@ -55,10 +55,10 @@
         return super().items()
 
 
-def test_a_report_does_not_read_the_reports_of_other_entries():
+def test_a_report_does_not_read_the_reports_of_other_gateways():
     """Callers of a small instance wait while it adds up the others' loads.
 
-    With 68 entries each receives 83 heartbeats per second.  Reading all other
+    With 68 gateways each receives 83 heartbeats per second.  Reading all other
     reports for each of them took two thirds of a core and delayed callers'
     requests.
     """
--- a/tests/limits/test_quarantine.py
+++ b/tests/limits/test_quarantine.py
@@ -42,7 +42,7 @@
 
 
 def test_one_gateway_admits_one_trial_at_a_time():
-    """The quarantine has lasted its time.  One gateway admits a single trial.
+    """A quarantine's duration has passed.  One gateway admits a single trial.
     The other requests there, and all requests at the other gateways, wait
     until the trial's result is known.
     """
--- a/tests/limits/test_unreported.py
+++ b/tests/limits/test_unreported.py
@@ -25,7 +25,7 @@
 
 
 def test_positions_cover_sent_and_upcoming_requests():
-    """Ten entries send 4 requests per second each and reported 0.5 s ago.
+    """Ten gateways send 4 requests per second each and reported 0.5 s ago.
 
     Twenty requests have been sent since, and as many follow before the others
     receive a report of the current choice.
@@ -42,7 +42,7 @@
     assert unreported.sample_ahead("llm", random.Random(1)).seconds == 0.5
 
 
-def test_nothing_is_ahead_of_a_lone_entry():
+def test_nothing_is_ahead_of_a_lone_gateway():
     unreported = UnreportedRequests(_Clock())
     assert set(_sample(unreported)) == {0}
 
@@ -52,7 +52,7 @@
     assert max(_sample(unreported, displaced=30)) == 30
 
 
-def test_the_rate_of_a_starting_entry_uses_its_shorter_window():
+def test_the_rate_of_a_starting_gateway_uses_its_shorter_window():
     """It sent 6 requests within its first 1.5 s: 4 per second, not 3."""
     clock = _Clock()
     unreported = UnreportedRequests(clock)
@@ -61,7 +61,7 @@
     assert max(_sample(unreported)) == 80
 
 
-def test_entries_that_start_together_account_for_each_other():
+def test_gateways_that_start_together_account_for_each_other():
     """All gateways were killed; 67 others start at the same time as this one.
 
     Their callers are waiting.  No heartbeat reports a request yet, and the
@@ -107,16 +107,16 @@
     )
 )
 def test_sums_are_those_of_the_last_reports(reports):
-    """Entries report in any order, become unreachable and return."""
+    """Gateways report in any order, become unreachable and return."""
     clock = _Clock()
     unreported, last = UnreportedRequests(clock), {}
-    for entry, count, pause in reports:
+    for gateway, count, pause in reports:
         if count is None:
-            unreported.forget([entry])
-            last.pop(entry, None)
+            unreported.forget([gateway])
+            last.pop(gateway, None)
         else:
-            unreported.take_others(entry, {"llm": count}, 2.0)
-            last[entry] = (count, clock.now)
+            unreported.take_others(gateway, {"llm": count}, 2.0)
+            last[gateway] = (count, clock.now)
         clock.now += pause
     wanted = sum(count * (clock.now - at) for count, at in last.values())
     # Counts are of two seconds, and the range covers twice the requests.
