--- a/magnoliacove/routing/candidates.py
+++ b/magnoliacove/routing/candidates.py
@@ -72,6 +72,7 @@
         self.failures = self.read_failures(now) + (1.0 if failed else 0.0)
         self.changed_at = now
         if not failed:
+            # Each success cancels a quarter of a failure.
             self.failures = max(0.0, self.failures - 0.25)
             self.seconds += _SMOOTHING * (seconds - self.seconds)
 
@@ -84,18 +85,18 @@
         data_centre: str,
         targets: TargetList,
         health: Health,
-        holdings: EngineStatuses,
+        statuses: EngineStatuses,
         loads: LoadBook,
-        unheard: UnreportedRequests,
+        unreported: UnreportedRequests,
         permits: Permits,
         rng: random.Random,
     ) -> None:
         self._data_centre = data_centre
         self._targets = targets
         self._health = health
-        self._holdings = holdings
+        self._statuses = statuses
         self._loads = loads
-        self._unheard = unheard
+        self._unreported = unreported
         self._permits = permits
         self._rng = rng
         self._statistics: dict[str, TargetStatistics] = {}
@@ -125,7 +126,7 @@
                 target.name
             ):
                 continue
-            status = self._holdings.read(target)
+            status = self._statuses.read(target)
             if status.layers is None:
                 continue
             if target.accelerator not in shape.accelerators:
@@ -152,7 +153,7 @@
                     # Reservations include tokens that are not generated
                     # yet.  Used memory includes requests of gateways
                     # that crashed, which have no reservation.  The
-                    # larger of the two counts.
+                    # larger of the two is subtracted.
                     capacity - max(load.token_layers, status.used),
                     load.requests,
                     status.slowness * self._choose_time_factor(target.name),
@@ -161,7 +162,7 @@
         return options
 
     def sample_ahead(self, service: str) -> RequestsAhead:
-        """Sample how many requests of other gateways precede one of a model.
+        """Sample how many requests of others are assumed to go first.
 
         They include the requests that pass through failed engines according
         to the last heartbeats: their gateways reroute them now, as this
@@ -172,7 +173,7 @@
             for target in self._targets.list_service(service)
             if self._is_failed(target.name)
         )
-        return self._unheard.sample_ahead(service, self._rng, displaced)
+        return self._unreported.sample_ahead(service, self._rng, displaced)
 
     def sample_displaced(
         self, failed_engines: Collection[str]
@@ -203,7 +204,7 @@
         """
         loaded: set[int] = set()
         for target in self._targets.list_service(service):
-            layers = self._holdings.read(target).layers
+            layers = self._statuses.read(target).layers
             if layers is not None and self._health.is_usable(target.name):
                 loaded.update(range(layers.first, layers.end))
         return loaded >= set(range(shape.layers))
@@ -222,11 +223,16 @@
             utilization = self._loads.all_crossings / max(
                 1.0, self.count_crossings(shape)
             )
+            # At full utilization a transfer is assumed to take five times as
+            # long as on an idle link.
             crossing = bits / (shape.link_mbps * 1e6) * (1 + 4 * utilization)
         return PathCosts(shape, prompt, answer, crossing)
 
     def count_crossings(self, shape: ModelShape) -> float:
-        """Return how many hops between data centres may run concurrently."""
+        """Return how many hops between data centres may run concurrently.
+
+        :returns: practically unlimited if a hop transfers no bytes.
+        """
         bytes_per_second = shape.link_mbps * 1e6 / 8
         needed = shape.hop_bytes * shape.usual_tokens / _STREAM_SECONDS
         return _LINK_SHARE * bytes_per_second / needed if needed else 1e9
@@ -273,7 +279,7 @@
         return wait + waiting / rate if rate else wait
 
     def _runs_first_layer(self, target: ListedTarget) -> bool:
-        layers = self._holdings.read(target).layers
+        layers = self._statuses.read(target).layers
         return layers is not None and layers.first == 0
 
     # Plain services.
--- a/magnoliacove/routing/chains.py
+++ b/magnoliacove/routing/chains.py
@@ -28,7 +28,10 @@
 
 @dataclass(frozen=True)
 class StageOption:
-    """A target that could serve a range of layers."""
+    """A target that could serve a range of layers.
+
+    :param end_layer: one past the last layer.
+    """
 
     target: str
     first_layer: int
@@ -37,7 +40,10 @@
 
 @dataclass(frozen=True)
 class ChainStage:
-    """A target and the layers that it serves in one chain."""
+    """A target and the layers that it serves in one chain.
+
+    :param end_layer: one past the last layer.
+    """
 
     target: str
     first_layer: int
@@ -58,7 +64,7 @@
         end_layer: int,
         estimates: Estimates,
     ) -> Chain | None:
-        """Return a chain over the layers, or None if no target has a layer."""
+        """Return a chain over the layers, or None if a layer has no target."""
 
 
 def list_segments(
@@ -106,7 +112,7 @@
         end_layer: int,
         estimates: Estimates,
     ) -> Chain | None:
-        """Return a chain over the layers, or None if no target has a layer."""
+        """Return a chain over the layers, or None if a layer has no target."""
         segments = list_segments(options, first_layer, end_layer)
         costs = {o.target: _stage_cost(o, estimates) for o in options}
         # The cheapest chain that ends at each cut, by its last target.
@@ -176,7 +182,7 @@
         end_layer: int,
         estimates: Estimates,
     ) -> Chain | None:
-        """Return a chain over the layers, or None if no target has a layer."""
+        """Return a chain over the layers, or None if a layer has no target."""
         chain: list[ChainStage] = []
         at = first_layer
         while at < end_layer:
--- a/magnoliacove/routing/estimates.py
+++ b/magnoliacove/routing/estimates.py
@@ -69,6 +69,9 @@
         mean_seconds = self._sum_seconds / self._weight
         spread = self._sum_running_squared / self._weight - mean_running**2
         if spread < 0.25:
+            # The reported numbers of streams hardly differ, so the slope
+            # cannot be estimated.  A tenth of the step time is assumed to
+            # depend on the streams.
             return mean_seconds * 0.9, mean_seconds * 0.1 / max(
                 mean_running, 1.0
             )
@@ -137,7 +140,7 @@
         return estimate
 
     def link_seconds(self, source: str, sink: str) -> float:
-        """Return the delay of a link and its penalty, 0 if never used."""
+        """Return the delay of a link, 0 if never used, plus its penalty."""
         delay = self._links.get((source, sink), 0.0)
         failed_at = self._failed_links.get((source, sink))
         if failed_at is None:
--- a/magnoliacove/routing/paths.py
+++ b/magnoliacove/routing/paths.py
@@ -4,9 +4,9 @@
 path runs every layer once and in order, uses each engine at most once, and
 fits into the free memory of each.
 
-Other gateways choose at the same time with the same load reports.  The
-search first assigns the requests of theirs that are assumed to precede this
-one, each to its fastest path, and then this one.  If every gateway took the
+Other gateways choose at the same time with the same load reports.  Some of
+their requests are assumed to precede this one.  The search first places each
+of those on its fastest path, and then this one.  If every gateway took the
 fastest path by the reports, all would take the same one, and prompts would
 queue at its engines for seconds.
 """
@@ -43,7 +43,7 @@
     "find_path",
 ]
 
-# Maximum number of groups in which preceding requests are assigned to paths.
+# Maximum number of groups in which preceding requests are placed on paths.
 # Each group costs a search of one data centre.
 _MAX_GROUPS = 8
 
@@ -57,7 +57,7 @@
     """Return the fastest path with capacity for the request, or None.
 
     :param first_engines: the engines that may be first, None for all.
-    :param ahead: requests that are assigned before this one, each to its
+    :param ahead: requests that are placed before this one, each on its
         fastest path.  They affect only which path is returned, not whether
         one is returned.
 
@@ -91,7 +91,7 @@
     and only the new ones process its prompt again.
 
     :param failed: engines of the path to replace; not the first.
-    :param ahead: requests that are rerouted around the same engines before.
+    :param ahead: requests that are rerouted around the same engines first.
     """
     return _choose_after(_ReroutedPaths(path, failed, options, costs), ahead)
 
--- a/magnoliacove/routing/search.py
+++ b/magnoliacove/routing/search.py
@@ -46,7 +46,7 @@
 
     The text explains why a request waits: ``7: 0`` means that no engine with
     free capacity has layer 7, ``7: 412`` that the engine with the most
-    capacity has room for 412 tokens there.
+    capacity can hold 412 tokens there.
     """
     bottlenecks = {}
     for data_centre in sorted({option.data_centre for option in options}):
@@ -183,6 +183,7 @@
 
 
 def _trace(best: dict[int, dict[str, _BestStep]], last: int) -> Path:
+    """Return the fastest path, built backwards from its last step."""
     data_centre = min(best[last], key=lambda name: best[last][name].seconds)
     seconds = best[last][data_centre].seconds
     stages: list[PathStage] = []
--- a/tests/routing/test_candidates.py
+++ b/tests/routing/test_candidates.py
@@ -28,7 +28,7 @@
     def __init__(self):
         recorder = timeline.Recorder("p")
         self.targets = TargetList(recorder, grace=1.8)
-        self.health, self.holdings = Health(recorder), EngineStatuses()
+        self.health, self.statuses = Health(recorder), EngineStatuses()
         self.loads = LoadBook()
         self.book = BackpressureBook(recorder)
         self.grants = GrantBook("p")
@@ -37,7 +37,7 @@
             "a",
             self.targets,
             self.health,
-            self.holdings,
+            self.statuses,
             self.loads,
             UnreportedRequests(),
             self.permits,
@@ -75,7 +75,7 @@
     world.loads.take_others("e-2", {"i-1": TargetLoad(3, 1000.0)}, 0)
     [option] = world.candidates.list_options("llm", _SHAPE)
     assert option.room == total - 1000.0
-    world.holdings.note("i-1", EngineStatus(LayerRange(0, 8), used=5000.0))
+    world.statuses.note("i-1", EngineStatus(LayerRange(0, 8), used=5000.0))
     [option] = world.candidates.list_options("llm", _SHAPE)
     assert option.room == total - 5000.0
 
--- a/tests/routing/test_paths.py
+++ b/tests/routing/test_paths.py
@@ -44,7 +44,7 @@
 
 
 @given(_OPTIONS)
-def test_layers_run_once_in_order_on_engines_with_room(sampled):
+def test_layers_run_once_in_order_on_engines_with_capacity(sampled):
     """Engines have any ranges, in any data centre, with any free capacity.
 
     Each path runs every layer once and in order, names no engine twice, and
@@ -79,7 +79,7 @@
         assert _list_layers(found) == list(range(80))
 
 
-def test_requests_ahead_take_the_quickest_path_first():
+def test_requests_ahead_take_the_fastest_path_first():
     """Of two data centres, the faster one has capacity for five requests.
 
     A request with four ahead goes there, one with five ahead to the other.
