--- a/magnoliacove/directory/backoff.py
+++ b/magnoliacove/directory/backoff.py
@@ -10,7 +10,7 @@
 
 
 class Backoff:
-    """Pauses that double up to a bound, with full jitter.
+    """Random pauses whose upper bound doubles up to a maximum.
 
     :param initial: upper bound of the first pause, in seconds.
     :param maximum: largest upper bound of a pause, in seconds.
@@ -26,7 +26,10 @@
         self._next = initial
 
     async def pause(self) -> None:
-        """Sleep for a random time up to the current bound, and double it."""
+        """Sleep for a random time up to the current bound; double the bound.
+
+        Each pause takes at least half of the initial bound.
+        """
         await trio.sleep(random.uniform(self._initial / 2, self._next))
         self._next = min(self._next * 2, self._maximum)
 
--- a/magnoliacove/directory/engine_status.py
+++ b/magnoliacove/directory/engine_status.py
@@ -55,7 +55,9 @@
     def note(
         self, target: str, status: EngineStatus, age: float = 0.0
     ) -> bool:
-        """Record a report; return whether the layers differ from the last one.
+        """Record a report; return whether it changes the recorded layers.
+
+        A report that is older than the recorded one is ignored.
 
         :param age: seconds since the report was made.
         """
--- a/magnoliacove/directory/health.py
+++ b/magnoliacove/directory/health.py
@@ -52,6 +52,7 @@
         self._recorder = recorder
         self._read_time = read_time
         self._suspicions: dict[str, Suspicion] = {}
+        # Duration in seconds and end of each target's last suspicion.
         self._durations: dict[str, tuple[float, float]] = {}
         self._listeners: list[Callable[[Suspicion], None]] = []
 
--- a/magnoliacove/directory/stale_entries.py
+++ b/magnoliacove/directory/stale_entries.py
@@ -87,8 +87,8 @@
     def take_credible(self) -> list[ListedTarget]:
         """Return deferred entries that have become credible with time.
 
-        An entry that still exists when entries of the restored store are no
-        longer outdated is correct.
+        Entries are outdated only for a limited time after a restore.  An
+        entry that still exists when this time is over is correct.
         """
         if not self._removed and not self._deferred:
             return []
--- a/magnoliacove/directory/targets.py
+++ b/magnoliacove/directory/targets.py
@@ -278,8 +278,8 @@
     def _log_listed(self) -> None:
         """Log the new targets, many in a line.
 
-        A process that starts receives all of them.  A line for each would
-        displace log lines of the first requests.
+        A process that starts receives all of them.  With a line for each, log
+        lines of the first requests would be dropped.
         """
         unlogged, self._unlogged = self._unlogged, []
         for at in range(0, len(unlogged), _MAX_TARGETS_PER_EVENT):
--- a/magnoliacove/directory/view.py
+++ b/magnoliacove/directory/view.py
@@ -138,6 +138,7 @@
             self._note_fork(source)
             return True
         self.recent_changes.append(change)
+        # A peer that lacks more changes than these gets the whole document.
         del self.recent_changes[:-256]
         self._activate(document, source)
         return True
