--- a/magnoliacove/peers/heartbeats.py
+++ b/magnoliacove/peers/heartbeats.py
@@ -140,8 +140,8 @@
         self._log_new_peers()
         self._detect_unreachable()
         self._sequence += 1
-        # Only peers that were received recently are named; otherwise gateways
-        # would keep announcing an unreachable one to each other.
+        # Only peers whose heartbeats arrived recently are named; otherwise
+        # gateways would keep announcing an unreachable one to each other.
         named = tuple(peer.heartbeat.address for peer in self._sample_named())
         data = self._make(self._sequence, named).encode()
         if len(data) > _MAX_DATAGRAM:
--- a/magnoliacove/peers/snapshots.py
+++ b/magnoliacove/peers/snapshots.py
@@ -1,6 +1,6 @@
 """Snapshots of a peer's configuration and list of targets.
 
-A gateway that starts or runs while the platform's store does not answer it
+A gateway that starts or runs while it cannot reach the platform's store
 requests both from a peer that has them.
 """
 
