--- a/magnoliacove/limits/grants.py
+++ b/magnoliacove/limits/grants.py
@@ -59,7 +59,7 @@
     target: str,
     limit: float,
     request_rates: Mapping[str, float],
-    present: Collection[str] = (),
+    incumbents: Collection[str] = (),
 ) -> list[Grant]:
     """Return the grants that divide a limit.
 
@@ -69,7 +69,7 @@
 
     :param request_rates: each gateway's requests per second for the target's
         service.
-    :param present: the gateways that have a grant now.
+    :param incumbents: the gateways that have a grant now.
     """
     rate = max(limit, _MIN_RATE)
     request_rates = {
@@ -77,7 +77,7 @@
         for name, request_rate in request_rates.items()
     }
     weights = {
-        name: request_rate * (_INCUMBENT_FACTOR if name in present else 1.0)
+        name: request_rate * (_INCUMBENT_FACTOR if name in incumbents else 1.0)
         for name, request_rate in request_rates.items()
     }
     ranked = sorted(
