--- a/magnoliacove/routing/candidates.py
+++ b/magnoliacove/routing/candidates.py
@@ -221,14 +221,14 @@
         if shape.link_mbps > 0:
             bits = (prompt + answer) * shape.hop_bytes * 8
             utilization = self._loads.all_crossings / max(
-                1.0, self.count_crossings(shape)
+                1.0, self.compute_max_crossings(shape)
             )
             # At full utilization a transfer is assumed to take five times as
             # long as on an idle link.
             crossing = bits / (shape.link_mbps * 1e6) * (1 + 4 * utilization)
         return PathCosts(shape, prompt, answer, crossing)
 
-    def count_crossings(self, shape: ModelShape) -> float:
+    def compute_max_crossings(self, shape: ModelShape) -> float:
         """Return how many hops between data centres may run concurrently.
 
         :returns: practically unlimited if a hop transfers no bytes.
@@ -239,7 +239,7 @@
 
     def may_cross(self, shape: ModelShape) -> bool:
         """Return whether one more hop between data centres may start."""
-        return self._loads.all_crossings < self.count_crossings(shape)
+        return self._loads.all_crossings < self.compute_max_crossings(shape)
 
     def pause_engine(self, target: str) -> None:
         """Block new requests to an engine that refused or reset one.
--- a/tests/routing/test_candidates.py
+++ b/tests/routing/test_candidates.py
@@ -140,7 +140,7 @@
     autojump_clock,
 ):
     world = _World()
-    limit = world.candidates.count_crossings(_SHAPE)
+    limit = world.candidates.compute_max_crossings(_SHAPE)
     # A token has 59,000 bytes; a stream sends 946 of them in about 3 s.
     assert 40 < limit < 70
     world.loads.take_others("e-2", {}, int(limit) - 1)
