--- a/magnoliacove/placement/balance.py
+++ b/magnoliacove/placement/balance.py
@@ -61,7 +61,7 @@
     """
     if any(not engine.movable for engine in engines):
         return None
-    totals = _measure(engines, shape)
+    totals = _compute_totals(engines, shape)
     if not all(totals.counts):
         return None
     streams = choose_capacity((e.accelerator for e in engines), shape)
@@ -94,7 +94,7 @@
     factors: list[float]
 
 
-def _measure(
+def _compute_totals(
     engines: Iterable[EngineState], shape: ModelShape
 ) -> _LayerTotals:
     capacities, counts = [0.0] * shape.layers, [0] * shape.layers
@@ -141,7 +141,9 @@
         engines: Sequence[EngineState],
         shape: ModelShape,
     ) -> None:
-        totals = _measure((e for e in engines if e is not engine), shape)
+        totals = _compute_totals(
+            (e for e in engines if e is not engine), shape
+        )
         factor = shape.accelerators[engine.accelerator].step_factor
         self._engine = engine
         self._shape = shape
@@ -226,14 +228,18 @@
                     yield LayerRange(first, first + size)
     if engine.requests:
         return
-    anywhere = current.tokens >= streams * shape.usual_tokens
+    # With enough capacity a move only adds replicas, so the range may be
+    # anywhere in the model.  Otherwise it must contain the weakest layer.
+    has_capacity = current.tokens >= streams * shape.usual_tokens
+    # Ranges for the full number of streams, and larger ones that leave
+    # memory for half of them.
     for fraction in (1.0, 0.5):
         size = count_layers(shape, engine.accelerator, streams * fraction)
         if not size:
             continue
-        low = 0 if anywhere else max(0, weakest - size + 1)
+        low = 0 if has_capacity else max(0, weakest - size + 1)
         high = shape.layers - size
-        if not anywhere:
+        if not has_capacity:
             high = min(high, weakest)
         for first in range(low, high + 1):
             yield LayerRange(first, first + size)
--- a/magnoliacove/placement/capacity.py
+++ b/magnoliacove/placement/capacity.py
@@ -57,8 +57,8 @@
     It is the smallest capacity that reaches nearly the maximum throughput, or
     the maximum capacity where the engines can load the model several times.
     It is reduced where the engines could not load the whole model without the
-    largest of them, but not below half of the maximum capacity, which ignores
-    that condition.
+    largest of them.  This condition never reduces it below half of the maximum
+    capacity.
 
     The result is cached because plans are made ten times a second.
     """
@@ -94,7 +94,7 @@
     kinds: Iterable[str], shape: ModelShape, streams: int
 ) -> float:
     """Return the tokens per second of the fastest path at full capacity."""
-    step = _measure_step(shape, streams)
+    step = _estimate_step_seconds(shape, streams)
     seconds, covered = 0.0, 0
     order = sorted(
         kinds, key=lambda kind: estimate_layer_seconds(shape, kind, streams)
@@ -140,7 +140,7 @@
     return max(0, min(fitting, shape.layers))
 
 
-def _measure_step(shape: ModelShape, streams: int) -> float:
+def _estimate_step_seconds(shape: ModelShape, streams: int) -> float:
     """Return the seconds of one step of the whole model for a batch."""
     context = streams * shape.usual_tokens / 1000
     return (
--- a/magnoliacove/placement/controller.py
+++ b/magnoliacove/placement/controller.py
@@ -51,8 +51,8 @@
 # Seconds to wait for a report of an engine that a gateway already suspects;
 # that gateway has already asked it twice.
 _SUSPECT_TIMEOUT = 0.2
-# Consecutive failed reports after which an engine is suspected; a single one
-# may be lost on a bad link.
+# Consecutive missing reports after which an engine is suspected; a single
+# report may be lost on a bad link.
 _FAILURES_TO_SUSPECT = 2
 # Seconds without a change of the target list before the first plan.  The list
 # fills over some seconds after a start, and a placement on a part of it would
@@ -99,9 +99,15 @@
 class _Engine:
     """The controller's state of one engine.
 
+    :param report: the last report; None before the first one and while the
+        engine counts as failed.
+    :param report_requested_at: when a report was last requested, by trio's
+        clock; far in the past to request one in the next round.
+    :param failures: failed reports since the last one that arrived; one that
+        raises an error counts at least twice.
     :param ordered: the layers that it is ordered to load, until a report
         shows them.
-    :param ordered_at: when the order was sent.
+    :param ordered_at: when the order was sent, by trio's clock.
     :param interrupted: whether the order interrupts the requests that use
         the old layers.
     """
@@ -259,7 +265,7 @@
             self._inputs.recorder.record(
                 "layers-placed",
                 target=target.name,
-                layers=_describe(engine.ordered),
+                layers=_format_layers(engine.ordered),
                 seconds=round(now - engine.ordered_at, 2),
             )
             engine.clear_order()
@@ -267,7 +273,7 @@
             self._inputs.recorder.record(
                 "order-lost",
                 target=target.name,
-                layers=_describe(engine.ordered),
+                layers=_format_layers(engine.ordered),
                 why="the engine has not loaded the layers nor begun to",
             )
             engine.clear_order()
@@ -390,9 +396,9 @@
         self._inputs.recorder.record(
             "order-given",
             target=target.name,
-            layers=_describe(item.layers),
+            layers=_format_layers(item.layers),
             closes_gap=item.closes_gap,
-            held=_describe(report.layers if report else None),
+            held=_format_layers(report.layers if report else None),
             requests=in_progress,
             orders=report.orders if report else None,
             result=str(result),
@@ -413,10 +419,10 @@
         loaded = report.layers if report else None
         kept = loaded.intersect(item.layers) if loaded else None
         moving = item.closes_gap and kept != loaded
-        holding = EngineStatus(kept, True, moving=moving)
-        if self._inputs.holdings.note(target.name, holding):
+        status = EngineStatus(kept, True, moving=moving)
+        if self._inputs.holdings.note(target.name, status):
             self._inputs.publish_status()
 
 
-def _describe(layers: LayerRange | None) -> str:
+def _format_layers(layers: LayerRange | None) -> str:
     return f"{layers.first}-{layers.end}" if layers else ""
--- a/magnoliacove/placement/leadership.py
+++ b/magnoliacove/placement/leadership.py
@@ -32,8 +32,8 @@
 # Seconds between checks of a lease while heartbeats of its holder arrive.
 # When they stop, the lease is checked at once.
 _CHECK_INTERVAL = 30.0
-# Seconds after the first failed call from which on the store counts as
-# unreachable.  A leader detects an outage with its next renewal, at most 1.4 s
+# The store counts as unreachable this many seconds after the first failed
+# call.  A leader detects an outage with its next renewal, at most 1.4 s
 # after the previous one.  It continues if the store counts as unreachable
 # before the leader considers its lease expired, 2 s after the previous
 # renewal; otherwise no gateway places layers until another one detects the
--- a/tests/placement/test_controller.py
+++ b/tests/placement/test_controller.py
@@ -51,12 +51,12 @@
 
     def __init__(self):
         self.all = {}
-        self.given = []
-        self.asked = Counter()
+        self.given_orders = []
+        self.report_requests = Counter()
         self.report_after = 0.001
 
     async def read_report(self, target):
-        self.asked[target.name] += 1
+        self.report_requests[target.name] += 1
         await trio.sleep(self.report_after)
         engine = self.all[target.name]
         if engine.dead:
@@ -84,7 +84,7 @@
         assert used <= KINDS[engine.kind].memory_mb
         engine.orders += 1
         engine.loading = layers
-        self.given.append((target.name, layers))
+        self.given_orders.append((target.name, layers))
         trio.lowlevel.spawn_system_task(self._load, engine, layers)
         if engine.loses_answers:
             raise TargetError("no answer", errors.Outcome.MAY_HAVE_RUN)
@@ -191,11 +191,11 @@
         return lead
 
     def has_complete_path(self):
-        held = set()
+        loaded = set()
         for engine in self.calls.all.values():
             if not engine.dead and engine.layers:
-                held.update(range(engine.layers.first, engine.layers.end))
-        return held == set(range(80))
+                loaded.update(range(engine.layers.first, engine.layers.end))
+        return loaded == set(range(80))
 
     def kill(self, name):
         self.calls.all[name].dead = True
@@ -226,7 +226,7 @@
     leads = [fleet.add_gateway(f"g-{n}") for n in range(3)]
     await _wait_for_complete_path(fleet, 12.0)
     assert sum(lead.acting for lead in leads) == 1
-    names = [name for name, _ in fleet.calls.given]
+    names = [name for name, _ in fleet.calls.given_orders]
     assert len(names) == len(set(names))
 
 
@@ -253,7 +253,7 @@
         engine.loses_answers = True
     fleet.add_gateway("g-1")
     await _wait_for_complete_path(fleet, 12.0)
-    names = [name for name, _ in fleet.calls.given]
+    names = [name for name, _ in fleet.calls.given_orders]
     assert len(names) == len(set(names))
 
 
@@ -281,10 +281,10 @@
     """
     fleet.add_gateway("g-1")
     await trio.sleep(12)
-    asked = fleet.calls.asked["i-0"]
+    asked = fleet.calls.report_requests["i-0"]
     fleet.books[0].take("i-0", TargetNotice(rate_limit=1.2), "a request")
     await trio.sleep(20)
-    assert fleet.calls.asked["i-0"] - asked <= 20 * 1.2 / 4 + 1
+    assert fleet.calls.report_requests["i-0"] - asked <= 20 * 1.2 / 4 + 1
 
 
 async def test_an_engine_that_cannot_be_asked_keeps_its_layers(
@@ -297,7 +297,7 @@
     fleet = _Fleet(nursery, ("h100", "a100s", *["l4"] * 6))
     fleet.add_gateway("g-1")
     await trio.sleep(12)
-    given = len(fleet.calls.given)
+    given = len(fleet.calls.given_orders)
     fleet.add_gateway("g-2")
     fleet.books[1].take("i-0", TargetNotice(rate_limit=0.1), "a request")
     fleet.permits[1].try_call_as_leader("i-0")
@@ -307,7 +307,7 @@
     fleet.gateways["g-1"][1].cancel()
     await trio.sleep(12)
     assert fleet.gateways["g-2"][0].acting
-    assert len(fleet.calls.given) == given
+    assert len(fleet.calls.given_orders) == given
     assert fleet.has_complete_path()
 
 
--- a/tests/placement/test_plan.py
+++ b/tests/placement/test_plan.py
@@ -336,7 +336,7 @@
     rated = balance._OtherEngines(engines[0], engines, _SHAPE).rate_with(
         layers, wanted
     )
-    measured = balance._rate(balance._measure(changed, _SHAPE), wanted)
+    measured = balance._rate(balance._compute_totals(changed, _SHAPE), wanted)
     assert rated.replicated == measured.replicated
     assert rated.tokens == pytest.approx(measured.tokens)
     assert rated.slowness == pytest.approx(measured.slowness)
