--- a/magnoliacove/agent/engine_timing.py
+++ b/magnoliacove/agent/engine_timing.py
@@ -42,7 +42,8 @@
         """Return the seconds after which a batch counts as hanging.
 
         The first step of a stream may contain a long prompt, so its batch
-        gets a longer timeout.
+        gets four times the base timeout, and so do all batches until the
+        duration of one is recorded.
         """
         base = defaults.ENGINE_TIMEOUT
         if not self._batch_seconds or any(item.step == 0 for item in inputs):
--- a/magnoliacove/agent/key_registry.py
+++ b/magnoliacove/agent/key_registry.py
@@ -34,8 +34,8 @@
 class KeyRequest:
     """A request to acquire an idempotency key.
 
-    :param digest: of the request; detects a key that is reused for another
-        request.
+    :param digest: the digest of the request; detects a key that is reused
+        for another request.
     :param timeout: seconds to wait for an earlier attempt that still runs.
     """
 
@@ -101,7 +101,7 @@
             self._first_contact = self._recorder.clock.seconds()
 
     def get_first_contact(self) -> float:
-        """Return when the first entry connected, or the present time."""
+        """Return when the first entry connected; before that, the time now."""
         if self._first_contact is None:
             return self._recorder.clock.seconds()
         return self._first_contact
@@ -346,10 +346,10 @@
                     window=self._window,
                 )
             self._ownerships[name].update_targets(
-                frozenset(targets), service_is_new=self._is_newer_service(name)
+                frozenset(targets), service_is_new=self._is_service_new(name)
             )
 
-    def _is_newer_service(self, service: str) -> bool:
+    def _is_service_new(self, service: str) -> bool:
         first = self._view.first_stored_version
         item = self._view.document.held[(configuration.Service.kind, service)]
         return first is not None and item.created > first
--- a/magnoliacove/agent/keys.py
+++ b/magnoliacove/agent/keys.py
@@ -65,12 +65,12 @@
 class KeyUse:
     """The use of one key by this agent.
 
-    :param acquired_at: by trio's clock.
+    :param acquired_at: when the key was acquired, by trio's clock.
     :param done: set once the request has ended or the key was released.
-    :param digest: of the request.
+    :param digest: the digest of the request.
     :param record: the request's result; None while the request runs, and
         if the result was too large or never arrived.
-    :param size: of the record, in bytes.
+    :param size: the size of the record in bytes.
     """
 
     key: str
@@ -131,7 +131,7 @@
         """Record the result of a key's request if it fits in the table.
 
         :param record: the answer, or None when it is not known.
-        :param size: of the record, in bytes.
+        :param size: the size of the record in bytes.
         """
         fits = (
             size <= defaults.MAX_RECORDED_ANSWER
--- a/magnoliacove/agent/neighbours.py
+++ b/magnoliacove/agent/neighbours.py
@@ -131,7 +131,7 @@
             self._recorder,
             self._make_hello,
             _ignore,
-            went_down=self._handle_peer_down,
+            on_disconnected=self._handle_peer_down,
             get_heartbeat_interval=self._get_heartbeat_interval,
         )
         self._peers[address] = peer
--- a/magnoliacove/agent/stages.py
+++ b/magnoliacove/agent/stages.py
@@ -1,7 +1,7 @@
 """The stages that one agent runs: their order, attempts and outputs.
 
 A stage applies each step once and in order.  It accepts only steps of its
-present attempt, so steps from the path of an earlier attempt are dropped.
+present attempt, so steps from the chain of an earlier attempt are dropped.
 It retains its outputs, so that it can send them again to a neighbour that
 lost them without running a layer twice.
 """
@@ -51,7 +51,7 @@
     :param engine_stream: the stream's name at the engine.  It includes the
         attempt that opened the stage, so a stage that is reopened never
         uses the KV cache of an earlier one.
-    :param deadline: by trio's clock.
+    :param deadline: when the stream's time ends, by trio's clock.
     :param next_step: the first step that the engine has not applied.
     :param send_from: outputs before this step are not sent downstream.
     :param running: number of steps in the engine's present batch.
--- a/magnoliacove/entry/pool.py
+++ b/magnoliacove/entry/pool.py
@@ -151,7 +151,7 @@
         """Apply the current configuration and directory."""
         assert self._nursery is not None
         view = self._process.view
-        wanted: dict[str, str] = {}
+        addresses: dict[str, str] = {}
         self._options = {}
         ranges: dict[tuple[str, int, int], list[configuration.Target]] = {}
         for target in view.document.list_items(configuration.Target):
@@ -162,13 +162,13 @@
                 instance = view.find_instance(target.name)
                 if instance is None or instance.state == "gone":
                     continue
-                wanted[target.name] = instance.address
+                addresses[target.name] = instance.address
                 self._options.setdefault(target.service, []).append(
                     routing.StageOption(
                         target.name, target.first_layer, target.end_layer
                     )
                 )
-        self._reconnect(wanted)
+        self._reconnect(addresses)
         for name in list(self._peers):
             if self._process.view.is_leaving(name):
                 self._mark_draining(name, "announced")
@@ -176,6 +176,11 @@
     def _pick_subset(
         self, targets: list[configuration.Target]
     ) -> list[configuration.Target]:
+        """Return the targets of one range of layers to connect to.
+
+        These are all targets of a plain service.  For a model, each entry
+        chooses its own subset, which does not depend on the targets' order.
+        """
         service = self._process.view.document.find(
             configuration.Service, targets[0].service
         )
@@ -189,10 +194,10 @@
 
         return sorted(targets, key=score)[: self._peers_per_range]
 
-    def _reconnect(self, wanted: dict[str, str]) -> None:
+    def _reconnect(self, addresses: dict[str, str]) -> None:
         assert self._nursery is not None
         for name, peer in list(self._peers.items()):
-            if wanted.get(name) == str(peer.address):
+            if addresses.get(name) == str(peer.address):
                 continue
             if peer.up and self._in_use(name):
                 # A removed target still completes its running requests.
@@ -201,7 +206,7 @@
             self._draining.discard(name)
             peer.stop()
             self._notify(PeerChanged(name, True, "it was removed or replaced"))
-        for name, address in wanted.items():
+        for name, address in addresses.items():
             if name in self._peers:
                 continue
             peer = wire.Peer(
@@ -211,13 +216,13 @@
                 self._process.recorder,
                 self._process.make_hello,
                 self._handle,
-                came_up=self._on_connected,
-                went_down=self._on_disconnected,
+                on_connected=self._on_connected,
+                on_disconnected=self._on_disconnected,
                 get_heartbeat_interval=self._get_heartbeat_interval,
             )
             self._peers[name] = peer
             self._nursery.start_soon(peer.run)
-        self.estimates.forget(set(wanted))
+        self.estimates.forget(set(addresses))
 
     def _get_heartbeat_interval(self, active: bool) -> float:
         """Return the seconds between heartbeats on an idle connection.
--- a/magnoliacove/wire/connection.py
+++ b/magnoliacove/wire/connection.py
@@ -286,8 +286,9 @@
         """Return the idle seconds after which a heartbeat is sent.
 
         A connection on which a message was sent recently has a caller
-        waiting for it and is checked often.  At that interval, the many
-        idle connections of a large fleet would exceed the control budget.
+        waiting for it and is checked often.  If all connections were
+        checked that often, the many idle ones of a large fleet would exceed
+        the control budget.
         """
         active = (
             trio.current_time() - self._last_posted
--- a/magnoliacove/wire/peer.py
+++ b/magnoliacove/wire/peer.py
@@ -31,9 +31,9 @@
     :param name: the instance's name.
     :param hello: returns the first message that this end sends.
     :param handle: called with each message.
-    :param came_up: called when a connection is ready.
-    :param went_down: called with the reason when a connection was lost or
-        could not be opened.
+    :param on_connected: called when a connection is ready.
+    :param on_disconnected: called with the reason when a connection was lost
+        or could not be opened.
     """
 
     def __init__(
@@ -45,8 +45,8 @@
         hello: Callable[[], messages.Hello],
         handle: Handler,
         *,
-        came_up: Callable[["Peer"], None] = _do_nothing,
-        went_down: Callable[["Peer", str], None] = _do_nothing,
+        on_connected: Callable[["Peer"], None] = _do_nothing,
+        on_disconnected: Callable[["Peer", str], None] = _do_nothing,
         get_heartbeat_interval: Callable[[bool], float] = lambda _: (
             defaults.MIN_HEARTBEAT_INTERVAL
         ),
@@ -59,8 +59,8 @@
         self._recorder = recorder
         self._hello = hello
         self._handle = handle
-        self._came_up = came_up
-        self._went_down = went_down
+        self._on_connected = on_connected
+        self._on_disconnected = on_disconnected
         self._get_heartbeat_interval = get_heartbeat_interval
         self._ready = trio.Event()
         self._scope = trio.CancelScope()
@@ -97,7 +97,7 @@
                 if self.failures == 0:
                     delay = defaults.INITIAL_RECONNECT_DELAY
                 self.failures += 1
-                self._went_down(self, reason)
+                self._on_disconnected(self, reason)
                 # Jitter keeps hundreds of processes from connecting to a
                 # restarted instance at the same moment.
                 await trio.sleep(delay * random.uniform(0.5, 1.0))
@@ -129,7 +129,7 @@
         self.connection = connection
         self._ready.set()
         self._recorder.record("connection-open", target=self.name)
-        self._came_up(self)
+        self._on_connected(self)
 
 
 async def serve_connection(
--- a/tests/agent/test_stages.py
+++ b/tests/agent/test_stages.py
@@ -55,7 +55,7 @@
     )
 
 
-def _make_runner(sink, leaving=False, most=8):
+def _make_runner(sink, leaving=False, max_streams=8):
     model = engine.StandInEngine(8, step_time=0.01)
     runner = StageRunner(
         "here",
@@ -63,7 +63,7 @@
         sink,
         timeline.Recorder("here"),
         lambda: leaving,
-        max_streams=most,
+        max_streams=max_streams,
     )
     return runner, model
 
@@ -158,7 +158,7 @@
     """A refused stream runs no step, and the code states the reason."""
     cases = [
         (_make_runner(_Sink(), leaving=True), _open(), "draining"),
-        (_make_runner(_Sink(), most=0), _open(), "overloaded"),
+        (_make_runner(_Sink(), max_streams=0), _open(), "overloaded"),
         (_make_runner(_Sink()), _open(resume=True), "unknown_stream"),
     ]
     for (runner, model), request, code in cases:
--- a/tests/wire/test_connection.py
+++ b/tests/wire/test_connection.py
@@ -174,7 +174,7 @@
             recorder,
             _hello("near"),
             _ignore,
-            came_up=lambda p: ups.append(trio.current_time()),
+            on_connected=lambda p: ups.append(trio.current_time()),
         )
         nursery.start_soon(peer.run)
         await peer.wait_up()
