--- a/magnoliacove/entry/claims.py
+++ b/magnoliacove/entry/claims.py
@@ -14,8 +14,8 @@
 
 # Seconds, beyond the request's deadline, to wait for the owner's answer.
 _OWNER_TIMEOUT = 5.0
-# Attempts to find the owner while configurations differ, and the seconds
-# between two of them.
+# Maximum attempts to claim a key at its owner while the configurations of the
+# entry and the owner differ, and the seconds between two attempts.
 _MAX_ATTEMPTS = 4
 _RETRY_PAUSE = 0.3
 
--- a/magnoliacove/entry/openai.py
+++ b/magnoliacove/entry/openai.py
@@ -36,12 +36,12 @@
     try:
         data = json.loads(body)
     except (ValueError, RecursionError) as exc:
-        raise _make_invalid(f"the body is no JSON: {exc}") from exc
+        raise _make_invalid_error(f"the body is no JSON: {exc}") from exc
     if not isinstance(data, dict):
-        raise _make_invalid("the body must be a JSON object")
+        raise _make_invalid_error("the body must be a JSON object")
     model = data.get("model")
     if not isinstance(model, str) or not model:
-        raise _make_invalid("name the service in 'model'")
+        raise _make_invalid_error("name the service in 'model'")
     options = data.get("stream_options") or {}
     limit = data.get("max_completion_tokens") or data.get("max_tokens")
     return ModelRequest(
@@ -54,7 +54,7 @@
     )
 
 
-def _make_invalid(message: str) -> errors.RequestError:
+def _make_invalid_error(message: str) -> errors.RequestError:
     return errors.RequestError("invalid_request", message, status=400)
 
 
@@ -63,35 +63,41 @@
         return defaults.DEFAULT_MAX_TOKENS
     limit = defaults.MAX_TOKENS_LIMIT
     if isinstance(value, bool) or not isinstance(value, int):
-        raise _make_invalid("'max_tokens' must be a whole number")
+        raise _make_invalid_error("'max_tokens' must be a whole number")
     if not 0 < value <= limit:
-        raise _make_invalid(f"'max_tokens' must lie between 1 and {limit}")
+        raise _make_invalid_error(
+            f"'max_tokens' must lie between 1 and {limit}"
+        )
     return value
 
 
 def _read_prompt(data: Mapping[str, Any]) -> bytes:
     prompt = data.get("prompt")
     if not isinstance(prompt, str) or not prompt:
-        raise _make_invalid("'prompt' must be a text that is not empty")
+        raise _make_invalid_error("'prompt' must be a text that is not empty")
     return prompt.encode()
 
 
 def _read_messages(data: Mapping[str, Any]) -> bytes:
     entries = data.get("messages")
     if not isinstance(entries, list) or not entries:
-        raise _make_invalid("'messages' must be a list that is not empty")
+        raise _make_invalid_error(
+            "'messages' must be a list that is not empty"
+        )
     return "\n".join(_read_message(entry) for entry in entries).encode()
 
 
 def _read_message(entry: Any) -> str:
     if not isinstance(entry, dict) or not isinstance(entry.get("role"), str):
-        raise _make_invalid("each message needs a 'role' and a 'content'")
+        raise _make_invalid_error(
+            "each message needs a 'role' and a 'content'"
+        )
     content = entry.get("content")
     if isinstance(content, list):
         parts = [p for p in content if isinstance(p, dict)]
         content = "".join(str(p.get("text", "")) for p in parts)
     if not isinstance(content, str):
-        raise _make_invalid("a message's 'content' must be a text")
+        raise _make_invalid_error("a message's 'content' must be a text")
     return f"{entry['role']}: {content}"
 
 
--- a/magnoliacove/entry/process.py
+++ b/magnoliacove/entry/process.py
@@ -132,16 +132,16 @@
                 await trio.sleep(0.05)
         process.recorder.record(
             "drained",
-            why="it took too long" if scope.cancelled_caught else "",
+            why="timed out" if scope.cancelled_caught else "",
             left=self.app.in_progress,
         )
-        departed = process.describe("gone")
-        process.view.adopt_entries([departed])
+        removed = process.describe("gone")
+        process.view.adopt_entries([removed])
         with trio.move_on_after(defaults.STORE_TIMEOUT):
             with contextlib.suppress(
                 errors.PlatformError, platform.VersionConflictError
             ):
-                await process.api.delete(departed.object_name)
+                await process.api.delete(removed.object_name)
 
     async def _serve_http(
         self,
--- a/magnoliacove/entry/streams.py
+++ b/magnoliacove/entry/streams.py
@@ -195,8 +195,8 @@
         steps = await self._collect_opened()
         if self.attempt > 1:
             self.resumed += 1
-            wanted = [*steps[1:], len(self.tokens)]
-            self._stages.replay_all(self._chain, self.attempt, wanted)
+            replay_steps = [*steps[1:], len(self.tokens)]
+            self._stages.replay_all(self._chain, self.attempt, replay_steps)
         self._send_steps_from(steps[0])
         self._recorder.record(
             "chain-opened" if self.attempt == 1 else "stream-resumed",
@@ -290,12 +290,16 @@
             return
         if message.code == "next_unreachable":
             names = self._chain.names
-            after = names[names.index(source) + 1]
-            self._pool.estimates.note_link_failure(source, after)
-            movable = frozenset([after] if after in self._chain.opened else [])
-            raise ChainInterrupted(message.reason, frozenset([after]), movable)
-        fresh = not self._steps_sent_at
-        if fresh and not self._budget.try_spend():
+            following = names[names.index(source) + 1]
+            self._pool.estimates.note_link_failure(source, following)
+            movable = frozenset(
+                [following] if following in self._chain.opened else []
+            )
+            raise ChainInterrupted(
+                message.reason, frozenset([following]), movable
+            )
+        not_started = not self._steps_sent_at
+        if not_started and not self._budget.try_spend():
             raise errors.RequestError(
                 "overloaded",
                 "the targets refuse work and the retry budget is spent; "
--- a/tests/entry/test_streams.py
+++ b/tests/entry/test_streams.py
@@ -286,10 +286,12 @@
 
 @given(_FAULT_TIMES)
 def test_any_faults(faults):
-    """The answer is complete and correct under any sequence of faults.
+    """The answer is complete, or an error reports that it is not.
 
     Up to three faults occur at random tokens in random stages.  Recovery
     must not lose, repeat or change a token.
+    A stream that runs out of targets must end with a typed error, at its
+    deadline or after its last attempt, never with a wrong token.
     """
 
     async def main():
