--- a/magnoliacove/timeline/events.py
+++ b/magnoliacove/timeline/events.py
@@ -71,7 +71,7 @@
 
     :param process: the name of the process.
     :param clock: the process's clock.
-    :param kept: the size of the ring buffer, in events.
+    :param max_events: the size of the ring buffer, in events.
     """
 
     def __init__(
@@ -79,12 +79,12 @@
         process: str,
         clock: Clock | None = None,
         *,
-        kept: int = defaults.MAX_RETAINED_EVENTS,
+        max_events: int = defaults.MAX_RETAINED_EVENTS,
     ) -> None:
         self.process = process
         self.clock = clock or Clock()
         self.version = 0
-        self._ring: deque[Event] = deque(maxlen=kept)
+        self._ring: deque[Event] = deque(maxlen=max_events)
         self._followers: set[trio.MemorySendChannel[Event]] = set()
 
     def record(
--- a/tests/timeline/test_timeline.py
+++ b/tests/timeline/test_timeline.py
@@ -42,7 +42,7 @@
 
 
 def test_ring_buffer_is_bounded_and_logs_are_read():
-    recorder = timeline.Recorder("p", kept=10)
+    recorder = timeline.Recorder("p", max_events=10)
     for number in range(25):
         recorder.record("thing", request=f"{number:02d}")
     kept = recorder.list_events()
