--- a/magnoliacove/platform/__init__.py
+++ b/magnoliacove/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Adapter to the users' platform: its object API and data formats."""
+"""Adapter to the platform: its object API and data formats."""
 
 from magnoliacove.platform.api import CompactedError
 from magnoliacove.platform.api import Listing
--- a/magnoliacove/platform/routes.py
+++ b/magnoliacove/platform/routes.py
@@ -115,7 +115,8 @@
         usual_answer=usual.number("answer", 100) if usual else 100,
         slots=fields.integer("slots", 64),
         prefill_chunk=max(1.0, fields.number("chunk", 512)),
-        # The number of token steps in one pass over all requests.
+        # The number of token steps in one pass over all requests, not a
+        # distance as the name suggests.
         steps_per_pass=max(1, fields.integer("stride", 1)),
         accelerators={
             kind.name: kind
