--- a/measure/__init__.py
+++ b/measure/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements: each program is run as ``python -m measure.NAME``."""
+"""Benchmark programs, each run as ``python -m measure.NAME``."""
--- a/measure/bare_server.py
+++ b/measure/bare_server.py
@@ -1,6 +1,6 @@
-"""A child process: the bare loop of hypercorn that writes the same parts.
+"""Child process: a bare hypercorn server that writes the same chunks.
 
-It is the baseline of an entry: no accounts, no agents, no checks.
+It is the baseline for an entry, without accounts, agents or checks.
 """
 
 import json
@@ -23,17 +23,17 @@
     await send(
         {"type": "http.response.start", "status": 200, "headers": headers}
     )
-    head = b'data: {"id": "cmpl-0123456789abcdef0123456789abcdef", "object":'
-    head += b' "text_completion", "created": 1796234329, "model": "catalog'
-    head += b'-llm", "choices": [{"index": 0, "text": "'
-    at = trio.current_time()
+    prefix = b'data: {"id": "cmpl-0123456789abcdef0123456789abcdef", "object":'
+    prefix += b' "text_completion", "created": 1796234329, "model": "catalog'
+    prefix += b'-llm", "choices": [{"index": 0, "text": "'
+    send_at = trio.current_time()
     for _ in range(body["max_tokens"]):
-        at += 0.068
-        await trio.sleep_until(at)
+        send_at += 0.068
+        await trio.sleep_until(send_at)
         text = f"{time.monotonic():.6f} ".encode()
-        part = head + text + b'", "finish_reason": null}]}\n\n'
+        chunk = prefix + text + b'", "finish_reason": null}]}\n\n'
         await send(
-            {"type": "http.response.body", "body": part, "more_body": True}
+            {"type": "http.response.body", "body": chunk, "more_body": True}
         )
     await send({"type": "http.response.body", "body": b"data: [DONE]\n\n"})
 
@@ -47,7 +47,8 @@
 
 
 def main() -> None:
-    # The same settings as an entry's, so that only its work differs.
+    # Use the garbage collector settings of an entry, so that only the work
+    # differs.
     running.tune_collector()
     trio.run(_serve)
 
--- a/measure/callers.py
+++ b/measure/callers.py
@@ -1,7 +1,8 @@
-"""A child process: callers who read many streams at once.
+"""Child process: callers that read many streams concurrently.
 
-It prints one JSON line: tokens read and the delays from the time that
-each token's text names, in milliseconds.
+It prints one JSON line: the number of tokens, the duration in seconds and
+quantiles of the delays in milliseconds.  A delay counts from the time of
+sending, which is the text of each token.
 """
 
 import json
@@ -14,9 +15,9 @@
 
 from magnoliacove.standins import fleet as fleets
 
-# Streams open faster here than they would in service; the first second
-# after the last one opened is not counted among the delays.
-_SETTLE = 1.0
+# Seconds after the last stream opened for which delays are not counted, since
+# streams open faster here than in production.
+_WARM_UP = 1.0
 
 
 async def _read(
@@ -36,7 +37,7 @@
     delays: list[float] = []
     steady_at: list[float] = []
     total = 0
-    began = time.monotonic()
+    started_at = time.monotonic()
 
     async def read() -> None:
         nonlocal total
@@ -47,16 +48,16 @@
         for _ in range(streams):
             nursery.start_soon(read)
             await trio.sleep(0.005)
-        steady_at.append(time.monotonic() + _SETTLE)
-    cuts = statistics.quantiles(delays, n=100)
+        steady_at.append(time.monotonic() + _WARM_UP)
+    percentiles = statistics.quantiles(delays, n=100)
     print(
         json.dumps(
             {
                 "tokens": total,
-                "seconds": time.monotonic() - began,
-                "delay_p50_ms": cuts[49],
-                "delay_p95_ms": cuts[94],
-                "delay_p99_ms": cuts[98],
+                "seconds": time.monotonic() - started_at,
+                "delay_p50_ms": percentiles[49],
+                "delay_p95_ms": percentiles[94],
+                "delay_p99_ms": percentiles[98],
             }
         )
     )
--- a/measure/common.py
+++ b/measure/common.py
@@ -1,4 +1,4 @@
-"""What the measuring programs share: facts, fits, tables, child processes."""
+"""Helpers of the benchmarks: environment, fits, tables, child processes."""
 
 from collections.abc import Iterator
 from collections.abc import Sequence
@@ -17,8 +17,8 @@
 _RESULTS = pathlib.Path(__file__).parent / "results"
 
 
-def read_facts() -> dict[str, Any]:
-    """Return what a figure depends on besides the code measured."""
+def read_environment() -> dict[str, Any]:
+    """Return the environment on which results depend, and the commit."""
     commit = subprocess.run(
         ["git", "rev-parse", "--short", "HEAD"],
         capture_output=True,
@@ -35,22 +35,22 @@
 
 
 def fit_line(points: Sequence[tuple[float, float]]) -> dict[str, float]:
-    """Return slope, intercept and the largest residual of a line.
+    """Return slope, intercept and largest residual of a linear fit.
 
-    The residual is relative to the largest value measured.
+    The residual is relative to the largest measured value.
     """
     xs, ys = zip(*points, strict=True)
     slope, intercept = statistics.linear_regression(xs, ys)
-    worst = max(abs(y - slope * x - intercept) for x, y in points)
+    max_residual = max(abs(y - slope * x - intercept) for x, y in points)
     return {
         "slope": slope,
         "intercept": intercept,
-        "residual": worst / (max(map(abs, ys)) or 1.0),
+        "residual": max_residual / (max(map(abs, ys)) or 1.0),
     }
 
 
 def show_table(rows: Sequence[dict[str, Any]]) -> None:
-    """Print rows under their keys."""
+    """Print rows as a table with their keys as the header."""
     keys = list(rows[0])
     texts = [[_format(row[key]) for key in keys] for row in rows]
     widths = [
@@ -67,15 +67,17 @@
 
 
 def write_result(name: str, data: dict[str, Any]) -> None:
-    """Write a result with the facts beside it."""
+    """Write a result together with the environment."""
     _RESULTS.mkdir(exist_ok=True)
     path = _RESULTS / f"{name}.json"
-    path.write_text(json.dumps({**read_facts(), **data}, indent=1) + "\n")
+    path.write_text(
+        json.dumps({**read_environment(), **data}, indent=1) + "\n"
+    )
     click.echo(f"written to measure/results/{name}.json")
 
 
 def read_process(pid: int) -> dict[str, float]:
-    """Return a process's seconds of processor time and its memory."""
+    """Return the processor time and the resident memory of a process."""
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1]
     ticks = sum(map(int, fields.split()[11:13]))
     pages = int(pathlib.Path(f"/proc/{pid}/statm").read_text().split()[1])
@@ -89,7 +91,7 @@
 def start_child(
     module: str, *args: str
 ) -> Iterator[tuple[subprocess.Popen[str], str]]:
-    """Run a module as a child; yield it and its first line of output."""
+    """Run a module as a child process; yield it and its first output line."""
     child = subprocess.Popen(
         [sys.executable, "-m", module, *args],
         stdout=subprocess.PIPE,
--- a/measure/counts.py
+++ b/measure/counts.py
@@ -1,4 +1,4 @@
-"""How much code there is, and what part of it is what.
+"""Lines of code by part of the project.
 
 ``python -m measure.counts`` counts lines that are neither blank nor
 comments.
@@ -41,18 +41,22 @@
 
 @click.command()
 def main() -> None:
-    """Print the counts."""
+    """Print the counts and shares."""
     package = _sum("magnoliacove")
     core = _sum(*(f"magnoliacove/{part}" for part in _CORE))
     tests = _sum("tests", "features")
-    measuring = _sum("measure")
-    whole = package + tests + measuring
+    benchmarks = _sum("measure")
+    total = package + tests + benchmarks
     rows = [
-        {"part": "package", "lines": package, "share": package / whole},
-        {"part": "tests", "lines": tests, "share": tests / whole},
-        {"part": "measuring", "lines": measuring, "share": measuring / whole},
+        {"part": "package", "lines": package, "share": package / total},
+        {"part": "tests", "lines": tests, "share": tests / total},
         {
-            "part": "routing ... recovery, of the package",
+            "part": "benchmarks",
+            "lines": benchmarks,
+            "share": benchmarks / total,
+        },
+        {
+            "part": "routing to recovery, of the package",
             "lines": core,
             "share": core / package,
         },
--- a/measure/fake_agent.py
+++ b/measure/fake_agent.py
@@ -1,7 +1,7 @@
-"""A light agent that answers for whole engines, at a steady pace.
+"""A lightweight agent that simulates several engines at a fixed rate.
 
-It gives every stream one token each ``gap`` seconds, in groups that stand
-for engines: all tokens of one group go out together.
+Every stream receives one token per ``gap`` seconds.  Streams are assigned to
+groups, one per simulated engine; the tokens of a group are sent together.
 """
 
 from dataclasses import dataclass
@@ -16,29 +16,31 @@
 
 
 @dataclass
-class _Held:
+class _Stage:
+    """An open stage and the step that waits for its token, if any."""
+
     connection: wire.Connection
     attempt: int
     step: int | None = None
 
 
 class FakeAgent:
-    """Serves stages of one chain of one stage.
+    """Serves streams whose chain is a single stage.
 
     :param gap: seconds between the tokens of a stream.
-    :param groups: how many engines it stands for.
+    :param groups: number of simulated engines.
     """
 
     def __init__(self, name: str, gap: float, groups: int = 8) -> None:
         self.name = name
         self.tokens = 0
         self._gap = gap
-        self._groups: list[dict[bytes, _Held]] = [{} for _ in range(groups)]
+        self._groups: list[dict[bytes, _Stage]] = [{} for _ in range(groups)]
         self._recorder = timeline.Recorder(name)
-        self._opened = 0
+        self._opened_count = 0
 
     def make_hello(self) -> messages.Hello:
-        """Return what this agent says first."""
+        """Return the first message of each connection."""
         return messages.Hello(1, self.name, 1, "agent", "gent-a", 0, "")
 
     async def run(
@@ -71,9 +73,9 @@
     ) -> None:
         match message:
             case messages.OpenStage():
-                self._opened += 1
-                group = self._groups[self._opened % len(self._groups)]
-                group[message.stream] = _Held(connection, message.attempt)
+                self._opened_count += 1
+                group = self._groups[self._opened_count % len(self._groups)]
+                group[message.stream] = _Stage(connection, message.attempt)
                 connection.post(
                     messages.StageOpened(message.stream, message.attempt, 0)
                 )
@@ -89,21 +91,21 @@
                 return
 
     async def _step_group(
-        self, group: dict[bytes, _Held], delay: float
+        self, group: dict[bytes, _Stage], delay: float
     ) -> None:
-        at = trio.current_time() + delay
+        send_at = trio.current_time() + delay
         while True:
-            at += self._gap
-            await trio.sleep_until(at)
+            send_at += self._gap
+            await trio.sleep_until(send_at)
             by_entry: dict[wire.Connection, list[messages.Token]] = {}
-            # The text is the time of sending, for the caller to compare.
+            # The time of sending, from which callers compute delays.
             text = f"{time.monotonic():.6f} ".encode()
-            for stream, held in group.items():
-                if held.step is None:
+            for stream, stage in group.items():
+                if stage.step is None:
                     continue
-                token = messages.Token(stream, held.attempt, held.step, text)
-                by_entry.setdefault(held.connection, []).append(token)
-                held.step = None
+                token = messages.Token(stream, stage.attempt, stage.step, text)
+                by_entry.setdefault(stage.connection, []).append(token)
+                stage.step = None
             for connection, tokens in by_entry.items():
                 self.tokens += len(tokens)
                 try:
--- a/measure/gateway.py
+++ b/measure/gateway.py
@@ -1,4 +1,4 @@
-"""Slopes of a gateway's control: heartbeats, paths, plans, routes.
+"""Cost of a gateway's control work: heartbeats, paths, plans, routes.
 
 Run as ``python -m measure.gateway``; results go to ``measure/results``.
 """
@@ -49,17 +49,17 @@
     slots=96,
     accelerators=_KINDS,
 )
-# One data centre: as many of each kind as a small site has in one.
+# Accelerators of one data centre, as many of each kind as at a small site.
 GROUP = ["h100", "a100s", *["l4"] * 5, *["t4"] * 7]
 
 
 def _time(run: Callable[[], object], count: int) -> float:
-    """Return milliseconds of one call."""
+    """Return the mean milliseconds of one call."""
     run()
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     for _ in range(count):
         run()
-    return (time.perf_counter() - began) / count * 1000
+    return (time.perf_counter() - started_at) / count * 1000
 
 
 def _make_engines(count: int) -> list[EngineState]:
@@ -75,7 +75,8 @@
 
 
 def _make_heartbeat(engines: int) -> peers.Heartbeat:
-    # Drawn, since a heartbeat is compressed and like values take no room.
+    # Random values, since heartbeats are compressed and equal values would
+    # take no space.
     rng = random.Random(engines)
     names = [f"i-{rng.getrandbits(40):010x}" for _ in range(engines)]
     return peers.Heartbeat(
@@ -112,13 +113,13 @@
 def _measure_heartbeats() -> list[dict[str, float]]:
     rows = []
     for engines in (14, 42, 126):
-        made = _make_heartbeat(engines)
-        data = made.encode()
+        heartbeat = _make_heartbeat(engines)
+        data = heartbeat.encode()
         rows.append(
             {
                 "engines": engines,
                 "bytes": len(data),
-                "encode_ms": _time(made.encode, 50),
+                "encode_ms": _time(heartbeat.encode, 50),
                 "decode_ms": _time(
                     functools.partial(peers.Heartbeat.decode, data), 50
                 ),
@@ -130,17 +131,17 @@
 def place_options(
     states: Sequence[EngineState], shape: ModelShape
 ) -> list[StageOption]:
-    """Return engines that hold what the placement gives them at a start."""
-    known = {state.target: state for state in states}
+    """Return engines with the layers of the initial placement loaded."""
+    states_by_target = {state.target: state for state in states}
     return [
         StageOption(
             item.target,
             Address("10.0.0.1", 80),
-            known[item.target].data_centre,
-            known[item.target].accelerator,
+            states_by_target[item.target].data_centre,
+            states_by_target[item.target].accelerator,
             item.layers,
             shape.count_room(
-                known[item.target].accelerator, item.layers.count
+                states_by_target[item.target].accelerator, item.layers.count
             ),
         )
         for item in make_plan(states, shape)
@@ -153,9 +154,11 @@
         states = _make_engines(engines)
         options = place_options(states, SHAPE)
         costs = PathCosts(SHAPE, 772, 140, 0.05)
-        held = {option.target: option.layers for option in options}
-        first = [
-            EngineState(s.target, s.data_centre, s.accelerator, held[s.target])
+        loaded = {option.target: option.layers for option in options}
+        first_group = [
+            EngineState(
+                s.target, s.data_centre, s.accelerator, loaded[s.target]
+            )
             for s in states[: len(GROUP)]
         ]
         rows.append(
@@ -168,7 +171,7 @@
                     functools.partial(make_plan, states, SHAPE), 3
                 ),
                 "balance_ms": _time(
-                    functools.partial(find_better, first, SHAPE), 5
+                    functools.partial(find_better, first_group, SHAPE), 5
                 ),
             }
         )
--- a/measure/herd.py
+++ b/measure/herd.py
@@ -1,9 +1,9 @@
-"""Many gateways choose paths by old news: who herds, and what it costs.
+"""Herding of gateways that choose paths by outdated load reports.
 
-Plays gateways before engines without a network: requests arrive at random
-gateways, each chooses by the heartbeats that it has, and engines' true loads
-are kept beside.  Compared are ways to choose, with a decider that knows
-every load at once as the bound.
+Simulates gateways and engines without a network.  Requests arrive at random
+gateways, which choose by the heartbeats that they have received; the actual
+loads of the engines are recorded separately.  The program compares policies;
+the bound is a policy that always sees the actual loads.
 
 Run as ``python -m measure.herd``; results go to ``measure/results``.
 """
@@ -32,15 +32,17 @@
 from measure import gateway
 
 _SERVICE = "llm"
+# Seconds of simulated time.
 _SECONDS = 6.0
-# The fleet fills from nothing; what happens before this is not counted.
+# Seconds at the start that are not counted, since the fleet starts idle.
 _WARM_UP = 2.0
-# When engines are lost, in seconds, if any are.
-_LOST_AT = 4.0
-# Requests a second for each engine.
-_PACE = 1.15
-# Between heartbeats of one gateway: at least, and for each other one.
-_LEAST_INTERVAL = 0.15
+# Seconds from the start until engines fail, if any do.
+_FAILURE_AT = 4.0
+# Requests per second and engine.
+_REQUEST_RATE = 1.15
+# Seconds between heartbeats of a gateway: the minimum, and the time for each
+# of its peers.
+_MIN_INTERVAL = 0.15
 _INTERVAL_PER_PEER = 0.012
 _SHAPE = replace(gateway.SHAPE, prefill_chunk=512.0, steps_per_pass=4)
 _COSTS = PathCosts(_SHAPE, 772, 140, 0.05)
@@ -48,10 +50,12 @@
 
 @dataclass(frozen=True)
 class Fleet:
-    """Gateways and engines, and the news between them.
+    """The size of a fleet and the interval of its heartbeats.
 
+    :param places: number of data centres.
     :param interval: seconds between two heartbeats of a gateway.
-    :param lost: engines that all gateways find lost at the same moment.
+    :param lost: number of engines whose failure all gateways detect at the
+        same moment.
     """
 
     gateways: int
@@ -63,15 +67,16 @@
 
 @dataclass(frozen=True)
 class Result:
-    """What came of one play.
-
-    :param first_part: the largest part of a second's requests that began at
-        the same engine.
-    :param overfilled: the part of all choices for which an engine of the
-        path had no room.
-    :param led_overfilled: the same of the requests led away from lost
-        engines.
-    :param mean_seconds: of a request, by the true loads at its start.
+    """The result of one simulation.
+
+    :param first_part: the largest share of the requests of one second whose
+        paths start at the same engine.
+    :param overfilled: the share of all choices for which an engine of the
+        path had no capacity.
+    :param led_overfilled: the same share of the requests that were rerouted
+        around failed engines.
+    :param mean_seconds: the mean duration of a request, by the actual loads
+        at its start.
     """
 
     first_part: float
@@ -82,7 +87,7 @@
 
 @dataclass
 class Gateway:
-    """One decider, with what it was told."""
+    """A gateway with the reports that it has received."""
 
     name: str
     loads: LoadBook
@@ -91,22 +96,22 @@
 
 @dataclass(eq=False)
 class _Request:
-    """A request on its path, as its gateway counts it and as it is."""
+    """A request with its reservation at its gateway and its actual load."""
 
     decider: Gateway
     path: Path
-    own: Reservation
-    true: Reservation
+    reserved: Reservation
+    actual: Reservation
 
 
 class World:
-    """Engines with their true load, and the gateways before them."""
+    """Engines with their actual loads, and the gateways."""
 
     def __init__(self, fleet: Fleet, seed: int) -> None:
         self.now = 0.0
         self.rng = random.Random(seed)
-        self.truth = LoadBook()
-        self.lost: set[str] = set()
+        self.actual_loads = LoadBook()
+        self.failed: set[str] = set()
         self.options = _place(fleet)
         self.gateways = [
             Gateway(f"g-{n}", LoadBook(), UnheardRequests(lambda: self.now))
@@ -114,7 +119,7 @@
         ]
 
     def read_options(self, book: LoadBook) -> list[StageOption]:
-        """Return the engines that live with the loads that a book tells."""
+        """Return the running engines with the loads from a load book."""
         return [
             replace(
                 option,
@@ -122,16 +127,19 @@
                 room=option.room - load.token_layers,
             )
             for option in self.options
-            if option.target not in self.lost
+            if option.target not in self.failed
             for load in (book.read(option.target),)
         ]
 
     def count_displaced(self, book: LoadBook) -> int:
-        """Return others' requests on lost engines, by a book's news."""
-        return sum(book.read_others(name).requests for name in self.lost)
+        """Return the requests of other gateways on failed engines.
+
+        The number is taken from a gateway's load book.
+        """
+        return sum(book.read_others(name).requests for name in self.failed)
 
     def send_heartbeat(self, sender: Gateway) -> None:
-        """Tell all others what one gateway sent."""
+        """Deliver a heartbeat of one gateway to all others."""
         loads = dict(sender.loads.list_own())
         counts = sender.unheard.list_counts()
         seconds = sender.unheard.counted_for
@@ -141,11 +149,11 @@
                 other.unheard.take_others(sender.name, counts, seconds)
 
 
-Chooser = Callable[[World, Gateway], Path | None]
+Policy = Callable[[World, Gateway], Path | None]
 
 
 def _place(fleet: Fleet) -> list[StageOption]:
-    """Return engines as the placement lays them out at a start."""
+    """Return the engines with their initial placement."""
     kinds = itertools.cycle(gateway.GROUP)
     states = [
         EngineState(
@@ -156,36 +164,36 @@
     return gateway.place_options(states, _SHAPE)
 
 
-# Ways to choose.
+# Policies.
 
 
-def choose_as_if_fresh(world: World, decider: Gateway) -> Path | None:
-    """Take the news for the present state of the engines."""
+def choose_by_reported_loads(world: World, decider: Gateway) -> Path | None:
+    """Assume that the received loads are current."""
     return find_path(world.read_options(decider.loads), _COSTS)
 
 
-def choose_after_unheard(world: World, decider: Gateway) -> Path | None:
-    """Place what is not heard of yet first."""
+def choose_with_unreported(world: World, decider: Gateway) -> Path | None:
+    """Account for requests that other gateways have not reported yet."""
     displaced = world.count_displaced(decider.loads)
     ahead = decider.unheard.draw(_SERVICE, world.rng, displaced)
     options = world.read_options(decider.loads)
     return find_path(options, _COSTS, None, ahead)
 
 
-def _choose_knowing_all(world: World, decider: Gateway) -> Path | None:
-    return find_path(world.read_options(world.truth), _COSTS)
+def _choose_by_actual_loads(world: World, decider: Gateway) -> Path | None:
+    return find_path(world.read_options(world.actual_loads), _COSTS)
 
 
 def _choose_of_two(world: World, decider: Gateway) -> Path | None:
-    """Take the better of two data centres that are drawn."""
+    """Choose the better of two random data centres."""
     options = world.read_options(decider.loads)
     places = sorted({option.data_centre for option in options})
-    drawn = world.rng.sample(places, min(2, len(places)))
-    return _search_in(options, drawn)
+    sampled = world.rng.sample(places, min(2, len(places)))
+    return _search_in(options, sampled)
 
 
 def _choose_in_subset(world: World, decider: Gateway) -> Path | None:
-    """Keep to two data centres for each gateway, by rendezvous."""
+    """Use two data centres for each gateway, by rendezvous hashing."""
     options = world.read_options(decider.loads)
     places = {option.data_centre for option in options}
     ranked = sorted(
@@ -202,126 +210,141 @@
     return find_path(inside, _COSTS)
 
 
-_WAYS: dict[str, Chooser] = {
-    "as if fresh": choose_as_if_fresh,
+_POLICIES: dict[str, Policy] = {
+    "as if fresh": choose_by_reported_loads,
     "best of two data centres": _choose_of_two,
     "two data centres each": _choose_in_subset,
-    "after the unheard": choose_after_unheard,
-    "knowing all": _choose_knowing_all,
+    "after the unheard": choose_with_unreported,
+    "knowing all": _choose_by_actual_loads,
 }
 
 
-class _Play:
-    """One play of a fleet with one way to choose."""
+class _Simulation:
+    """A simulation of a fleet with one policy."""
 
-    def __init__(self, fleet: Fleet, choose: Chooser, seed: int) -> None:
+    def __init__(self, fleet: Fleet, policy: Policy, seed: int) -> None:
         self._fleet = fleet
-        self._choose = choose
+        self._policy = policy
         self._world = World(fleet, seed)
         self._numbers = itertools.count()
-        # Time, a number that orders equals, and what happens then.
+        # Time, a sequence number that orders simultaneous events, and action.
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        # In the order of their start, so that a play repeats.
+        # Ordered by start, so that the simulation is reproducible.
         self._running: dict[_Request, None] = {}
-        self._firsts: dict[int, Counter[str]] = {}
+        self._first_engines: dict[int, Counter[str]] = {}
         self._seconds: list[float] = []
         self._overfilled = 0
-        self._led = [0, 0]
+        # Rerouted requests, and those among them without capacity.
+        self._rerouted = [0, 0]
 
     def run(self) -> Result:
-        """Play to the end."""
+        """Run the simulation."""
         world, fleet = self._world, self._fleet
-        for number, one in enumerate(world.gateways):
+        for number, sender in enumerate(world.gateways):
             at = number / fleet.gateways * fleet.interval
-            self._add(at, functools.partial(self._beat, one))
-        self._add(0.0, self._arrive)
+            self._schedule(at, functools.partial(self._send_heartbeat, sender))
+        self._schedule(0.0, self._arrive)
         if fleet.lost:
-            self._add(_LOST_AT, self._lose)
+            self._schedule(_FAILURE_AT, self._fail_engines)
         while self._events[0][0] < _SECONDS:
-            world.now, _, happen = heapq.heappop(self._events)
-            happen()
-        parts = [max(c.values()) / c.total() for c in self._firsts.values()]
+            world.now, _, action = heapq.heappop(self._events)
+            action()
+        shares = [
+            max(c.values()) / c.total() for c in self._first_engines.values()
+        ]
         return Result(
-            max(parts),
+            max(shares),
             self._overfilled / len(self._seconds),
-            self._led[1] / self._led[0] if self._led[0] else 0.0,
+            self._rerouted[1] / self._rerouted[0]
+            if self._rerouted[0]
+            else 0.0,
             statistics.mean(self._seconds),
         )
 
-    def _add(self, at: float, happen: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (at, next(self._numbers), happen))
+    def _schedule(self, at: float, action: Callable[[], None]) -> None:
+        heapq.heappush(self._events, (at, next(self._numbers), action))
 
-    def _beat(self, sender: Gateway) -> None:
+    def _send_heartbeat(self, sender: Gateway) -> None:
         self._world.send_heartbeat(sender)
         at = self._world.now + self._fleet.interval
-        self._add(at, functools.partial(self._beat, sender))
+        self._schedule(at, functools.partial(self._send_heartbeat, sender))
 
     def _arrive(self) -> None:
         world = self._world
-        pause = world.rng.expovariate(_PACE * self._fleet.engines)
-        self._add(world.now + pause, self._arrive)
+        pause = world.rng.expovariate(_REQUEST_RATE * self._fleet.engines)
+        self._schedule(world.now + pause, self._arrive)
         decider = world.rng.choice(world.gateways)
         decider.unheard.note_request(_SERVICE)
-        found = self._begin(decider)
-        if found is None or world.now < _WARM_UP:
+        choice = self._begin(decider)
+        if choice is None or world.now < _WARM_UP:
             return
-        path, seconds, fits = found
-        counts = self._firsts.setdefault(int(world.now), Counter())
+        path, seconds, fits = choice
+        counts = self._first_engines.setdefault(int(world.now), Counter())
         counts[path.targets[0]] += 1
         self._seconds.append(seconds)
         self._overfilled += not fits
 
     def _begin(self, decider: Gateway) -> tuple[Path, float, bool] | None:
-        """Send a request; return its path, its seconds, and if it fits."""
+        """Start a request.
+
+        :return: its path, its duration and whether the engines of the path
+            have capacity, None if there is no path.
+        """
         world = self._world
-        path = self._choose(world, decider)
+        path = self._policy(world, decider)
         if path is None:
             return None
-        seconds, fits = _follow(world, path)
+        seconds, fits = _evaluate_path(world, path)
         request = _Request(
             decider,
             path,
             decider.loads.reserve_path(path, _COSTS.tokens),
-            world.truth.reserve_path(path, _COSTS.tokens),
+            world.actual_loads.reserve_path(path, _COSTS.tokens),
         )
         self._running[request] = None
-        self._add(world.now + seconds, functools.partial(self._end, request))
+        self._schedule(
+            world.now + seconds, functools.partial(self._end, request)
+        )
         return path, seconds, fits
 
     def _end(self, request: _Request) -> None:
         if request not in self._running:
             return
         del self._running[request]
-        request.decider.loads.release(request.own)
-        self._world.truth.release(request.true)
+        request.decider.loads.release(request.reserved)
+        self._world.actual_loads.release(request.actual)
 
-    def _lose(self) -> None:
-        """Lose the busiest engines; all gateways lead away from them."""
+    def _fail_engines(self) -> None:
+        """Fail the busiest engines; all gateways reroute their requests."""
         world = self._world
         busy = sorted(
             world.options,
-            key=lambda option: -world.truth.read(option.target).requests,
+            key=lambda option: (
+                -world.actual_loads.read(option.target).requests
+            ),
         )
-        world.lost = {o.target for o in busy[: self._fleet.lost]}
-        left = [r for r in self._running if world.lost & {*r.path.targets}]
-        for request in sorted(left, key=lambda r: r.decider.name):
+        world.failed = {o.target for o in busy[: self._fleet.lost]}
+        affected = [
+            r for r in self._running if world.failed & {*r.path.targets}
+        ]
+        for request in sorted(affected, key=lambda r: r.decider.name):
             self._end(request)
-            found = self._begin(request.decider)
-            if found is not None:
-                self._led[0] += 1
-                self._led[1] += not found[2]
+            choice = self._begin(request.decider)
+            if choice is not None:
+                self._rerouted[0] += 1
+                self._rerouted[1] += not choice[2]
 
 
-def play(fleet: Fleet, choose: Chooser, seed: int) -> Result:
-    """Play one way to choose and return what came of it."""
-    return _Play(fleet, choose, seed).run()
+def play(fleet: Fleet, policy: Policy, seed: int) -> Result:
+    """Simulate a fleet with one policy and return the result."""
+    return _Simulation(fleet, policy, seed).run()
 
 
-def _follow(world: World, path: Path) -> tuple[float, bool]:
-    """Return what a path takes by the true loads, and whether it has room."""
+def _evaluate_path(world: World, path: Path) -> tuple[float, bool]:
+    """Return the duration of a path by the actual loads, and if it fits."""
     on_path = {stage.target: stage for stage in path.stages}
     seconds, fits = 0.0, True
-    for option in world.read_options(world.truth):
+    for option in world.read_options(world.actual_loads):
         stage = on_path.get(option.target)
         if stage is None:
             continue
@@ -333,7 +356,7 @@
 
 
 def main() -> None:
-    """Play every way before fleets of four sizes and write the results."""
+    """Simulate every policy at four fleet sizes and write the results."""
     rows = []
     for gateways, engines, places in (
         (5, 42, 3),
@@ -341,12 +364,12 @@
         (68, 130, 5),
         (330, 850, 6),
     ):
-        usual = max(_LEAST_INTERVAL, _INTERVAL_PER_PEER * gateways)
-        for interval in sorted({usual, max(usual, 1.0)}):
+        base_interval = max(_MIN_INTERVAL, _INTERVAL_PER_PEER * gateways)
+        for interval in sorted({base_interval, max(base_interval, 1.0)}):
             lost = engines // 13
             fleet = Fleet(gateways, engines, places, interval, lost)
-            for name, choose in _WAYS.items():
-                result = asdict(play(fleet, choose, seed=1))
+            for name, policy in _POLICIES.items():
+                result = asdict(play(fleet, policy, seed=1))
                 row = {"way": name, **asdict(fleet), **result}
                 rows.append(row)
                 common.write_result("herd", {"rows": rows})
--- a/measure/limits.py
+++ b/measure/limits.py
@@ -1,8 +1,9 @@
-"""Ways to keep one engine's limit over many gateways, without a network.
+"""Policies that enforce one engine's rate limit across many gateways.
 
-``python -m measure.limits`` prints for each way, and for 4 to 330 gateways,
-the most requests that the engine got in 4 s beside what it allows, and the
-part of its limit that it got.  Gateways are killed, cut off and started.
+``python -m measure.limits`` simulates them without a network.  For each
+policy, and for 4 to 330 gateways, it prints by how much the busiest 4 s
+exceed the requests that the engine allows, and the share of its limit that
+it received.  Gateways are killed, partitioned and started.
 """
 
 from collections.abc import Callable
@@ -27,30 +28,38 @@
 from magnoliacove.timeline import Recorder
 from magnoliacove.wire import Address
 
-__all__ = ["WAYS", "Play", "Result"]
+__all__ = ["POLICIES", "Play", "Result"]
 
 ENGINE = "i-1"
 _SERVICE = "llm"
+# Seconds of one simulation step.
 _STEP = 0.01
-# As the gateways' heartbeats.
-_LEAST_INTERVAL = 0.15
+# Timing of the heartbeats of real gateways, in seconds: the minimum interval,
+# the interval for each peer, the time after which a peer is unreachable and
+# its minimum in intervals, and the delay of an urgent heartbeat.
+_MIN_INTERVAL = 0.15
 _INTERVAL_PER_PEER = 0.012
-_GONE = 1.2
-_GONE_INTERVALS = 6
-_SOON = 0.03
-# The users' rule: counted from so long after the engine first said so, from
-# gateways that were told so long ago and not killed or cut off since.
-_CONTACT = 3.0
-_TOLD = 0.5
+_PEER_TIMEOUT = 1.2
+_PEER_TIMEOUT_INTERVALS = 6
+_URGENT_DELAY = 0.03
+# The users' rule: requests count from `_CONVERGENCE_TIME` seconds after the
+# engine first announced its limit, if their gateway received the limit at
+# least `_NOTICE_DELAY` seconds before and was not killed or partitioned since.
+_CONVERGENCE_TIME = 3.0
+_NOTICE_DELAY = 0.5
+# Seconds over which requests are counted against the limit.
 _WINDOW = 4.0
-_NAMED_AT = 4.0
-_DOWN = 0.7
-_CUT = 4.0
+# Seconds from the start until the engine announces its limit.
+_LIMIT_AT = 4.0
+# Seconds from the kill of a gateway until its restart.
+_RESTART_DELAY = 0.7
+# Seconds for which a gateway is partitioned.
+_PARTITION_SECONDS = 4.0
 
 
 @dataclass(frozen=True)
-class News:
-    """One gateway's heartbeat, as far as limits go."""
+class LimitHeartbeat:
+    """The fields of a gateway's heartbeat that concern limits."""
 
     name: str
     counted_for: float
@@ -61,38 +70,38 @@
 
 
 @dataclass(frozen=True)
-class Heard:
-    """A heartbeat, and when it came."""
+class ReceivedHeartbeat:
+    """A heartbeat and the time at which it was received."""
 
-    heartbeat: News
+    heartbeat: LimitHeartbeat
     heard_at: float
 
 
 @dataclass
 class Clock:
-    """The time of a play, in seconds."""
+    """The simulated time in seconds."""
 
     now: float = 0.0
 
     def read(self) -> float:
-        """Return the present moment."""
+        """Return the current time."""
         return self.now
 
 
 class Gateway:
-    """One gateway of a play: what it hears and what it knows."""
+    """A simulated gateway with real limit sharing."""
 
     def __init__(self, name: str, clock: Clock, rng: random.Random) -> None:
         self.name = name
         self.clock = clock
-        self.cut_until = -math.inf
-        self.excused_at = -math.inf
-        self.told_at = math.inf
-        self.heard: dict[str, Heard] = {}
-        self.next_beat = clock.now + rng.uniform(0.0, _LEAST_INTERVAL)
-        self.saved, self.saved_at = 0.0, clock.now
-        # The time of day differs a little between gateways.
-        self.time_off = rng.uniform(-0.05, 0.05)
+        self.partitioned_until = -math.inf
+        self.last_fault_at = -math.inf
+        self.informed_at = math.inf
+        self.received: dict[str, ReceivedHeartbeat] = {}
+        self.next_heartbeat_at = clock.now + rng.uniform(0.0, _MIN_INTERVAL)
+        self.tokens, self.tokens_at = 0.0, clock.now
+        # Simulates clock skew between gateways.
+        self.clock_skew = rng.uniform(-0.05, 0.05)
         recorder = Recorder(name)
         targets = TargetList(recorder, grace=1.0, read_time=clock.read)
         targets.apply(ListedTarget(ENGINE, _SERVICE, Address("x", 1), "a"))
@@ -109,27 +118,33 @@
             lambda: False,
             clock.read,
         )
-        self.book.listen(self._beat_soon)
+        self.book.listen(self._hasten_heartbeat)
 
     @property
     def interval(self) -> float:
         """Seconds between heartbeats."""
-        return max(_LEAST_INTERVAL, _INTERVAL_PER_PEER * len(self.heard))
+        return max(_MIN_INTERVAL, _INTERVAL_PER_PEER * len(self.received))
 
-    def list_live(self) -> list[Heard]:
-        """Return the gateways that are heard."""
-        gone = max(_GONE, _GONE_INTERVALS * self.interval)
-        limit = self.clock.now - gone
-        return [one for one in self.heard.values() if one.heard_at >= limit]
+    def list_live(self) -> list[ReceivedHeartbeat]:
+        """Return the latest heartbeats of the reachable peers."""
+        peer_timeout = max(
+            _PEER_TIMEOUT, _PEER_TIMEOUT_INTERVALS * self.interval
+        )
+        limit = self.clock.now - peer_timeout
+        return [
+            heartbeat
+            for heartbeat in self.received.values()
+            if heartbeat.heard_at >= limit
+        ]
 
     def list_names(self) -> list[str]:
-        """Return the gateways that are heard, and this one."""
-        return [self.name, *(one.heartbeat.name for one in self.list_live())]
+        """Return the names of the reachable peers and this gateway."""
+        return [self.name, *(peer.heartbeat.name for peer in self.list_live())]
 
-    def beat(self) -> News:
-        """Return a heartbeat; the next one is due an interval later."""
-        self.next_beat = self.clock.now + self.interval
-        return News(
+    def make_heartbeat(self) -> LimitHeartbeat:
+        """Return a heartbeat and schedule the next one an interval later."""
+        self.next_heartbeat_at = self.clock.now + self.interval
+        return LimitHeartbeat(
             self.name,
             self.unheard.counted_for,
             self.unheard.list_counts(),
@@ -137,79 +152,85 @@
             self.sharing.hand_out(),
         )
 
-    def hear(self, news: News) -> None:
-        """Take another gateway's heartbeat."""
-        self.heard[news.name] = Heard(news, self.clock.now)
-        self.unheard.take_others(news.name, news.recent, news.counted_for)
-        self.sharing.take(news)
+    def receive(self, heartbeat: LimitHeartbeat) -> None:
+        """Process a heartbeat of another gateway."""
+        self.received[heartbeat.name] = ReceivedHeartbeat(
+            heartbeat, self.clock.now
+        )
+        self.unheard.take_others(
+            heartbeat.name, heartbeat.recent, heartbeat.counted_for
+        )
+        self.sharing.take(heartbeat)
 
-    def save(self, rate: float) -> bool:
-        """Save up at a rate; return whether one request is saved."""
+    def refill(self, rate: float) -> bool:
+        """Refill the token bucket; return whether it allows a request."""
         now = self.clock.now
-        self.saved = min(1.0, self.saved + rate * (now - self.saved_at))
-        self.saved_at = now
-        return self.saved >= 1.0
+        self.tokens = min(1.0, self.tokens + rate * (now - self.tokens_at))
+        self.tokens_at = now
+        return self.tokens >= 1.0
 
-    def _beat_soon(self) -> None:
-        self.next_beat = min(self.next_beat, self.clock.now + _SOON)
+    def _hasten_heartbeat(self) -> None:
+        self.next_heartbeat_at = min(
+            self.next_heartbeat_at, self.clock.now + _URGENT_DELAY
+        )
 
 
-class Way(Protocol):
-    """Whether a gateway that knows the limit may send a request now."""
+class Policy(Protocol):
+    """Decides whether a gateway that has the limit may send a request now."""
 
     def __call__(self, gateway: Gateway, rate: float) -> bool:
-        """Count the request if it may go."""
+        """Return whether the request may be sent, and count it if so."""
 
 
 def share_evenly(gateway: Gateway, rate: float) -> bool:
-    """Each gateway has the same part, by how many it hears."""
-    if not gateway.save(rate / len(gateway.list_names())):
+    """Divide the limit evenly by the number of reachable gateways."""
+    if not gateway.refill(rate / len(gateway.list_names())):
         return False
-    gateway.saved -= 1.0
+    gateway.tokens -= 1.0
     return True
 
 
 def take_turns(gateway: Gateway, rate: float) -> bool:
-    """Time is cut into turns of one request, drawn among those heard."""
-    turn = int((gateway.clock.now + gateway.time_off) * rate)
-    owner = choose_owner(f"{ENGINE} {turn}", gateway.list_names())
-    if gateway.name != owner or gateway.saved == turn:
+    """Divide time into slots of one request; hash each to a gateway."""
+    slot = int((gateway.clock.now + gateway.clock_skew) * rate)
+    owner = choose_owner(f"{ENGINE} {slot}", gateway.list_names())
+    if gateway.name != owner or gateway.tokens == slot:
         return False
-    gateway.saved = turn
+    gateway.tokens = slot
     return True
 
 
 def send_for_all(gateway: Gateway, rate: float) -> bool:
-    """One gateway alone sends to the engine."""
+    """Let a single gateway send requests to the engine."""
     owner = choose_owner(ENGINE, gateway.list_names())
-    if gateway.name != owner or not gateway.save(rate):
+    if gateway.name != owner or not gateway.refill(rate):
         return False
-    gateway.saved -= 1.0
+    gateway.tokens -= 1.0
     return True
 
 
 def use_grants(gateway: Gateway, _: float) -> bool:
-    """Go by the parts that a keeper hands out, as gateways do."""
+    """Use the grants that the limit's owner issues, as gateways do."""
     if not gateway.grants.may_send(ENGINE):
         return False
     gateway.grants.spend(ENGINE)
     return True
 
 
-WAYS: dict[str, Callable[[Gateway, float], bool]] = {
+POLICIES: dict[str, Callable[[Gateway, float], bool]] = {
     "even shares": share_evenly,
     "turns in time": take_turns,
     "one sends for all": send_for_all,
-    "handed out": use_grants,
+    "grants": use_grants,
 }
 
 
 @dataclass
 class Result:
-    """What the engine got.
+    """The requests that the engine received.
 
-    :param excess: the most in any window, less what is allowed.
-    :param part: of its limit, from the time on that counts.
+    :param excess: the requests in the busiest window, less what is allowed.
+    :param part: the received share of the limit over the counted period.
     """
 
     excess: float
@@ -218,18 +239,19 @@
 
 @dataclass
 class Play:
-    """One play of gateways before an engine that names a limit.
-
-    :param rate: requests a second that the engine takes.
-    :param demand: requests a second of each gateway for this engine.
-    :param kill_every: seconds between two kills, 0 for none.
-    :param all_at: when all are killed, 0 for never.
-    :param cut_every: seconds between two cuts of one gateway, 0 for none.
-    :param quiet_until: once the limit is known no gateway has a request for
-        the engine until then; its part counts from then on.
+    """A simulation of gateways and an engine that announces a limit.
+
+    :param rate: the limit of the engine in requests per second.
+    :param demand: requests per second of each gateway for the engine.
+    :param kill_every: seconds between two kills of a gateway, 0 for none.
+    :param all_at: when all gateways are killed, 0 for never.
+    :param cut_every: seconds between two partitions of a gateway, 0 for none.
+    :param quiet_until: the time until which gateways have no requests for the
+        engine once the fleet has the limit; the received share counts from
+        then on.
     """
 
-    way: Callable[[Gateway, float], bool]
+    policy: Callable[[Gateway, float], bool]
     count: int
     rate: float = 1.2
     demand: float = 5.0
@@ -242,7 +264,7 @@
     counted: list[float] = field(default_factory=list)
 
     def run(self, seconds: float) -> Result:
-        """Play for so many seconds."""
+        """Run the simulation for a number of seconds."""
         self._rng = random.Random(self.seed)
         self._clock = Clock()
         self._down: list[tuple[float, str]] = []
@@ -250,17 +272,17 @@
         steps = int(seconds / _STEP)
         for step in range(steps):
             self._clock.now = step * _STEP
-            self._trouble(step)
-            self._beat()
+            self._inject_faults(step)
+            self._exchange_heartbeats()
             self._send()
-        return self._judge(seconds)
+        return self._evaluate(seconds)
 
     def _start(self, name: str) -> Gateway:
         gateway = Gateway(name, self._clock, self._rng)
-        gateway.excused_at = self._clock.now
+        gateway.last_fault_at = self._clock.now
         return gateway
 
-    def _trouble(self, step: int) -> None:
+    def _inject_faults(self, step: int) -> None:
         now = self._clock.now
         due = [name for at, name in self._down if at <= now]
         self._down = [item for item in self._down if item[0] > now]
@@ -274,24 +296,26 @@
         if self.all_at and step == int(self.all_at / _STEP):
             self._kill(list(self._up))
         if self.cut_every and step and not step % int(self.cut_every / _STEP):
-            self._rng.choice(self._up).cut_until = now + _CUT
+            self._rng.choice(self._up).partitioned_until = (
+                now + _PARTITION_SECONDS
+            )
 
     def _kill(self, gateways: Iterable[Gateway]) -> None:
         for gateway in gateways:
             self._up.remove(gateway)
-            self._down.append((self._clock.now + _DOWN, gateway.name))
+            self._down.append((self._clock.now + _RESTART_DELAY, gateway.name))
 
-    def _beat(self) -> None:
+    def _exchange_heartbeats(self) -> None:
         now = self._clock.now
         for gateway in self._up:
-            if gateway.next_beat > now:
+            if gateway.next_heartbeat_at > now:
                 continue
-            news = gateway.beat()
-            if gateway.cut_until > now:
+            heartbeat = gateway.make_heartbeat()
+            if gateway.partitioned_until > now:
                 continue
             for other in self._up:
-                if other is not gateway and other.cut_until <= now:
-                    other.hear(news)
+                if other is not gateway and other.partitioned_until <= now:
+                    other.receive(heartbeat)
 
     def _send(self) -> None:
         now = self._clock.now
@@ -299,28 +323,28 @@
             if self._rng.random() >= self.demand * _STEP:
                 continue
             gateway.unheard.note_request(_SERVICE)
-            if _NAMED_AT + _CONTACT <= now < self.quiet_until:
+            if _LIMIT_AT + _CONVERGENCE_TIME <= now < self.quiet_until:
                 continue
-            known = gateway.book.read_limit(ENGINE)
-            if known is None or self.way(gateway, known):
+            limit = gateway.book.read_limit(ENGINE)
+            if limit is None or self.policy(gateway, limit):
                 self._arrive(gateway, now)
 
     def _arrive(self, gateway: Gateway, now: float) -> None:
         self.sent.append(now)
-        if gateway.cut_until > now:
-            gateway.excused_at = now
-        told = gateway.told_at <= now - _TOLD
-        if told and now - gateway.excused_at >= _CONTACT:
+        if gateway.partitioned_until > now:
+            gateway.last_fault_at = now
+        informed = gateway.informed_at <= now - _NOTICE_DELAY
+        if informed and now - gateway.last_fault_at >= _CONVERGENCE_TIME:
             self.counted.append(now)
-        if now >= _NAMED_AT:
-            gateway.told_at = min(gateway.told_at, now)
+        if now >= _LIMIT_AT:
+            gateway.informed_at = min(gateway.informed_at, now)
             notice = TargetNotice(rate_limit=self.rate)
             gateway.book.take(ENGINE, notice, "play")
 
-    def _judge(self, seconds: float) -> Result:
-        begin = max(_NAMED_AT + _CONTACT, self.quiet_until)
+    def _evaluate(self, seconds: float) -> Result:
+        begin = max(_LIMIT_AT + _CONVERGENCE_TIME, self.quiet_until)
         counted = [at for at in self.counted if at >= begin]
-        most = max(
+        peak = max(
             (
                 sum(1 for other in counted if at - _WINDOW < other <= at)
                 for at in counted
@@ -328,12 +352,14 @@
             default=0,
         )
         allowed = 1.5 * self.rate * _WINDOW + 5
-        got = sum(1 for at in self.sent if at >= begin)
-        usual = self.rate * (seconds - begin)
-        return Result(most - allowed, got / usual if usual else math.inf)
+        received = sum(1 for at in self.sent if at >= begin)
+        expected = self.rate * (seconds - begin)
+        return Result(
+            peak - allowed, received / expected if expected else math.inf
+        )
 
 
-_TROUBLES: dict[str, dict[str, float]] = {
+_FAULTS: dict[str, dict[str, float]] = {
     "none": {},
     "a kill each 3 s": {"kill_every": 3.0},
     "all killed": {"all_at": 12.0},
@@ -343,17 +369,17 @@
 
 
 def main() -> None:
-    """Print a table; the arguments are numbers of gateways."""
+    """Print a table for the numbers of gateways given as arguments."""
     counts = [int(text) for text in sys.argv[1:]] or [4, 12, 68]
-    print("gateways | limit | way | trouble | most over allowed | part got")
+    print("gateways | limit | policy | fault | max excess | share received")
     for count in counts:
         for rate in (1.2, 12.0):
-            for name, way in WAYS.items():
-                for trouble, kinds in _TROUBLES.items():
-                    play = Play(way, count, rate, **kinds)
+            for name, policy in POLICIES.items():
+                for fault, settings in _FAULTS.items():
+                    play = Play(policy, count, rate, **settings)
                     result = play.run(max(24.0, play.quiet_until + 10.0))
                     print(
-                        f"{count} | {rate:g} | {name} | {trouble} | "
+                        f"{count} | {rate:g} | {name} | {fault} | "
                         f"{result.excess:+.1f} | {result.part:.2f}",
                         flush=True,
                     )
--- a/measure/peering.py
+++ b/measure/peering.py
@@ -1,9 +1,10 @@
-"""What a gateway's heartbeats cost it: taking, making, sending them.
+"""Cost of heartbeats for a gateway: receiving, creating and sending them.
 
-Takes heartbeats with the whole of a real gateway's beliefs behind it: loads,
-budget, suspicions, what engines hold, who waits.  Beside the load book as it
-is stands one that adds up all entries for each heartbeat.  What requests that
-end targets add is measured apart, with as much of it as a heartbeat holds.
+Processes heartbeats with the complete state of a real gateway: loads, retry
+budget, suspicions, loaded layers and waiting requests.  For comparison, a
+second load book sums up the loads of all gateways for each heartbeat.  The
+cost of reports about requests that crash targets is measured separately, at
+the maximum that a heartbeat contains.
 
 Run as ``python -m measure.peering``; results go to ``measure/results``.
 """
@@ -34,34 +35,37 @@
 from measure import common
 
 _SIZES = ((5, 42), (32, 52), (68, 130), (330, 850))
-# Engines that one gateway's requests pass through, at most.
-_LOADED = 80
-_LEAST_INTERVAL = 0.15
+# Maximum number of engines that the requests of one gateway pass through.
+_ENGINES_IN_USE = 80
+# Seconds between heartbeats of a gateway: the minimum, and the time for each
+# of its peers.
+_MIN_INTERVAL = 0.15
 _INTERVAL_PER_PEER = 0.012
-_ROUNDS = 300
-# Ends that one gateway tells of, peers that do at the same time, and requests
-# of which ends are remembered.
-_ENDS = 64
-_TELLING = 8
-_KEPT_REQUESTS = 1024
+# Approximate number of calls over which the cost of a call is averaged.
+_CALLS = 300
+# Crashes that one gateway reports, peers that report crashes at the same time,
+# and requests whose crashes are stored.
+_CRASHES = 64
+_REPORTING_PEERS = 8
+_STORED_REQUESTS = 1024
 
 
-class _AddingUp(LoadBook):
-    """A load book that adds up all entries for each heartbeat."""
+class _SummingLoadBook(LoadBook):
+    """A load book that sums up all gateways' loads for each heartbeat."""
 
     def __init__(self) -> None:
         super().__init__()
-        self._heard: dict[str, Mapping[str, TargetLoad]] = {}
+        self._received: dict[str, Mapping[str, TargetLoad]] = {}
 
     def take_others(
         self, entry: str, loads: Mapping[str, TargetLoad], crossings: int
     ) -> None:
-        self._heard[entry] = loads
+        self._received[entry] = loads
         sums: dict[str, TargetLoad] = {}
-        for heard in self._heard.values():
-            for target, load in heard.items():
-                known = sums.get(target, TargetLoad())
-                sums[target] = known.add(load.requests, load.token_layers)
+        for gateway_loads in self._received.values():
+            for target, load in gateway_loads.items():
+                total = sums.get(target, TargetLoad())
+                sums[target] = total.add(load.requests, load.token_layers)
 
 
 def _make_gateway(engines: list[str]) -> Gateway:
@@ -89,9 +93,9 @@
 def _make_heartbeat(
     number: int, sequence: int, engines: list[str], gateways: int
 ) -> peers.Heartbeat:
-    """Return a peer's heartbeat; the first peer does the placement duty."""
+    """Return a peer's heartbeat; the first peer is the placement leader."""
     rng = random.Random(number * 1000 + sequence)
-    loaded = rng.sample(engines, min(_LOADED, len(engines)))
+    engines_in_use = rng.sample(engines, min(_ENGINES_IN_USE, len(engines)))
     acting = number == 0
     return peers.Heartbeat(
         name=f"front-{number + 2}",
@@ -105,7 +109,7 @@
         crossings=0,
         loads={
             name: TargetLoad(rng.randrange(1, 9), float(rng.randrange(400000)))
-            for name in loaded
+            for name in engines_in_use
         },
         suspicions=(),
         holdings=tuple(
@@ -136,95 +140,108 @@
     ]
     for data in sent:
         peering._take_heartbeat(peers.Heartbeat.decode(data))
-    interval = max(_LEAST_INTERVAL, _INTERVAL_PER_PEER * (gateways - 1))
-    a_second = (gateways - 1) / interval
+    interval = max(_MIN_INTERVAL, _INTERVAL_PER_PEER * (gateways - 1))
+    per_second = (gateways - 1) / interval
     decode = _time(
         [functools.partial(peers.Heartbeat.decode, data) for data in sent]
     )
     decoded = [peers.Heartbeat.decode(data) for data in sent]
     take = _time(
-        [functools.partial(peering._take_heartbeat, one) for one in decoded]
+        [
+            functools.partial(peering._take_heartbeat, heartbeat)
+            for heartbeat in decoded
+        ]
     )
-    adding = _AddingUp()
-    adding_up = _time(
+    summing = _SummingLoadBook()
+    summing_time = _time(
         [
-            functools.partial(adding.take_others, one.name, one.loads, 0)
-            for one in decoded
+            functools.partial(
+                summing.take_others, heartbeat.name, heartbeat.loads, 0
+            )
+            for heartbeat in decoded
         ]
     )
-    for name in names[:_LOADED]:
+    for name in names[:_ENGINES_IN_USE]:
         gateway.state.loads.reserve_target(name)
     make = _time([lambda: peering._make_heartbeat(1, ()).encode()])
     size = len(peering._make_heartbeat(1, ()).encode())
-    _fill_with_ends(gateway)
-    told = [
+    _add_crashes(gateway)
+    reports = [
         dataclasses.replace(
             peering._make_heartbeat(number + 3, ()), name=f"front-{number}"
         )
-        for number in range(min(gateways - 1, _TELLING))
+        for number in range(min(gateways - 1, _REPORTING_PEERS))
     ]
-    ends_take = _time(
-        [functools.partial(peering._take_heartbeat, one) for one in told]
+    crashes_take = _time(
+        [
+            functools.partial(peering._take_heartbeat, report)
+            for report in reports
+        ]
     )
-    ends_make = _time([lambda: peering._make_heartbeat(1, ()).encode()])
-    ends_size = len(peering._make_heartbeat(1, ()).encode())
+    crashes_make = _time([lambda: peering._make_heartbeat(1, ()).encode()])
+    crashes_size = len(peering._make_heartbeat(1, ()).encode())
     return {
         "gateways": gateways,
         "engines": engines,
-        "taken_a_second": a_second,
+        "taken_a_second": per_second,
         "decode_ms": decode * 1000,
         "take_ms": take * 1000,
         "make_ms": make * 1000,
-        "core": a_second * (decode + take) + make / interval,
-        "core_adding_up": a_second * (decode + take + adding_up)
+        "core": per_second * (decode + take) + make / interval,
+        "core_adding_up": per_second * (decode + take + summing_time)
         + make / interval,
-        "bytes_a_second": size * a_second,
-        "ends_bytes": ends_size - size,
-        "ends_take_ms": ends_take * 1000,
-        "ends_make_ms": ends_make * 1000,
-        "decide_ms": _measure_deciding() * 1000,
+        "bytes_a_second": size * per_second,
+        "ends_bytes": crashes_size - size,
+        "ends_take_ms": crashes_take * 1000,
+        "ends_make_ms": crashes_make * 1000,
+        "decide_ms": _measure_decision() * 1000,
     }
 
 
-def _measure_deciding() -> float:
-    """Return the seconds of one decision over all ends that are kept."""
+def _measure_decision() -> float:
+    """Return the seconds of one decision over all stored crashes."""
     history = CrashHistory(lambda: 0.0)
     rng = random.Random(1)
-    for number in range(_KEPT_REQUESTS):
-        # As seen where 40 streams at a time travelled from end to end.
-        ends = rng.choices((1, 2, 3, 4), (80, 17, 2, 1))[0]
-        for end in range(ends):
-            run = CrashedRun(f"{number}", end, f"{number % 64}-{end}", 0.1)
+    for number in range(_STORED_REQUESTS):
+        # As observed with 40 concurrent streams that moved from one crashed
+        # engine to the next.
+        crashes = rng.choices((1, 2, 3, 4), (80, 17, 2, 1))[0]
+        for crash in range(crashes):
+            run = CrashedRun(f"{number}", crash, f"{number % 64}-{crash}", 0.1)
             history.note_crash(run)
     return _time([lambda: history.find_causes(())])
 
 
-def _fill_with_ends(gateway: Gateway) -> None:
-    """Let a gateway know as much of requests that end targets as it tells."""
+def _add_crashes(gateway: Gateway) -> None:
+    """Record as many crashes in a gateway as its heartbeat reports."""
     crashes = gateway.state.crashes
-    for number in range(_ENDS):
+    for number in range(_CRASHES):
         fingerprint = f"{number:016x}"
         target = f"i-{number:010x}"
         run = CrashedRun(fingerprint, number, target, 0.1)
         crashes.note_crash(run)
         crashes.note_answered(fingerprint)
-        gateway.state.quarantine.begin(f"{number + _ENDS:016x}", 3, "")
+        gateway.state.quarantine.begin(f"{number + _CRASHES:016x}", 3, "")
 
 
 def _time(calls: list[Any]) -> float:
-    """Return the processor seconds of one call, over all calls in turn."""
+    """Return the mean processor seconds of one call.
+
+    :param calls: the calls to run in turn; the last half runs before as a
+        warm-up.
+    """
     for call in calls[-len(calls) // 2 :]:
         call()
-    rounds = max(1, _ROUNDS // len(calls))
-    began = time.process_time()
+    rounds = max(1, _CALLS // len(calls))
+    started_at = time.process_time()
     for _ in range(rounds):
         for call in calls:
             call()
-    return (time.process_time() - began) / (rounds * len(calls))
+    return (time.process_time() - started_at) / (rounds * len(calls))
 
 
 def main() -> None:
-    """Measure fleets of four sizes and write the results."""
+    """Measure four fleet sizes and write the results."""
     rows = [trio.run(_measure, *size) for size in _SIZES]
     common.show_table(rows)
     common.write_result("peering", {"rows": rows})
--- a/measure/recovery.py
+++ b/measure/recovery.py
@@ -1,8 +1,8 @@
-"""How soon answers flow again after each fault, and what it costs.
+"""Recovery time after faults, and the requests that fail meanwhile.
 
 ``python -m measure.recovery`` runs real entries and agents over the
-stand-in network under a virtual clock, with streams and bids going on all
-the time, and brings about one fault (or two) after two seconds.
+stand-in network under a virtual clock, with a constant load of streams and
+bids, and injects one fault (or two) after two seconds.
 """
 
 from collections.abc import Awaitable
@@ -26,11 +26,14 @@
 
 _STREAMS = 12
 _TOKENS = 60
+# Seconds from the start until the fault and until the end.
 _FAULT_AT = 2.0
 _END_AT = 12.0
-_WINDOW = 0.1
+# Seconds between the points at which token rates are computed.
+_RATE_STEP = 0.1
 _EXPECTED = b"".join(engine.compute_tokens(b"lot", 8, _TOKENS)).decode()
-_SEEN = (
+# Kinds of events by which processes detect a fault.
+_DETECTION_EVENTS = (
     "target-lost",
     "stage-lost",
     "engine-failed",
@@ -44,7 +47,7 @@
 
 @dataclass
 class _Load:
-    """What callers saw."""
+    """Counts and timings of the requests of all callers."""
 
     token_times: list[float] = field(default_factory=list)
     gaps: list[float] = field(default_factory=list)
@@ -59,15 +62,16 @@
 _Fault = Callable[[fleets.Fleet], Awaitable[None]]
 
 
-def _used(fleet: fleets.Fleet, first_layer: int) -> str:
+def _find_used_agent(fleet: fleets.Fleet, first_layer: int) -> str:
+    """Return the agent with the most streams at a range of layers."""
     names = [n for n in fleet.agents if n.startswith(f"llm-{first_layer}-")]
     return max(names, key=lambda n: len(fleet.agents[n].made.stages.stages))
 
 
-async def _stream(fleet: fleets.Fleet, entry: str, load: _Load) -> None:
+async def _run_stream(fleet: fleets.Fleet, entry: str, load: _Load) -> None:
     last = trio.current_time()
 
-    async def note(_: int) -> None:
+    async def record_token(_: int) -> None:
         nonlocal last
         now = trio.current_time()
         load.token_times.append(now)
@@ -77,7 +81,7 @@
     body = callers.make_body("lot", _TOKENS, stream=True)
     app = fleet.entries[entry].made.app
     answer = await callers.ask(
-        app, "POST", "/v1/completions", body, None, note
+        app, "POST", "/v1/completions", body, None, record_token
     )
     if answer.status != 200:
         load.refused += 1
@@ -92,16 +96,17 @@
     load.wrong += text != _EXPECTED
 
 
-def _mint(now: float, rng: random.Random) -> str:
+def _make_key(now: float, rng: random.Random) -> str:
+    """Return an idempotency key, a UUID of version 7."""
     value = int(now * 1000) << 80 | rng.getrandbits(80)
     value = value & ~(0xF << 76) | 0x7 << 76
     return str(uuid.UUID(int=value & ~(0x3 << 62) | 0x2 << 62))
 
 
-async def _bid(
+async def _send_bid(
     fleet: fleets.Fleet, entry: str, load: _Load, rng: random.Random
 ) -> None:
-    key = _mint(fleet.read_time(), rng)
+    key = _make_key(fleet.read_time(), rng)
     for _ in range(30):
         answer = await callers.ask(
             fleet.entries[entry].made.app,
@@ -120,7 +125,7 @@
     load.refused += 1
 
 
-async def _keep_busy(
+async def _repeat(
     fleet: fleets.Fleet, entry: str, work: Callable[[], Awaitable[None]]
 ) -> None:
     while not fleet.entries[entry].scope.cancel_called:
@@ -142,30 +147,32 @@
             for number in range(_STREAMS):
                 entry = f"entry-{number % 2}"
                 nursery.start_soon(
-                    _keep_busy,
+                    _repeat,
                     fleet,
                     entry,
-                    lambda e=entry: _stream(fleet, e, load),
+                    lambda e=entry: _run_stream(fleet, e, load),
                 )
             for entry in ("entry-0", "entry-1"):
                 nursery.start_soon(
-                    _keep_busy,
+                    _repeat,
                     fleet,
                     entry,
-                    lambda e=entry: _bid(fleet, e, load, rng),
+                    lambda e=entry: _send_bid(fleet, e, load, rng),
                 )
             await trio.sleep_until(start + _FAULT_AT)
-            fault_reading = int(fleet.read_time() * 1000) / 1000
+            fault_at = int(fleet.read_time() * 1000) / 1000
             await fault(fleet)
             await trio.sleep_until(start + _END_AT)
-            seen = _list_seen(fleet, fault_reading)
+            detections = _list_detections(fleet, fault_at)
             nursery.cancel_scope.cancel()
         runs = [
             run[2] for service in fleet.plains.values() for run in service.runs
         ]
     return {
         "fault": name,
-        "seen_after_s": (seen[0] - fault_reading) if seen else float("nan"),
+        "seen_after_s": (detections[0] - fault_at)
+        if detections
+        else float("nan"),
         "recovered_after_s": _find_recovery(load.token_times, start),
         "longest_gap_s": max(load.gaps),
         "answered": load.answered,
@@ -178,42 +185,44 @@
     }
 
 
-def _list_seen(fleet: fleets.Fleet, after: float) -> list[float]:
+def _list_detections(fleet: fleets.Fleet, after: float) -> list[float]:
     return [
         (event.clock >> 16) / 1000
         for event in fleet.list_events()
-        if event.kind in _SEEN and (event.clock >> 16) / 1000 >= after
+        if event.kind in _DETECTION_EVENTS
+        and (event.clock >> 16) / 1000 >= after
     ]
 
 
 def _find_recovery(times: list[float], start: float) -> float:
-    """Return when the rate was back for good at what is left gives.
+    """Return the seconds from the fault until the token rate stays recovered.
 
-    That is eight tenths of the rate before the fault, or of the rate at the
-    end when that is lower since there is less to run on.  Rates are taken
-    over half a second, so that one slow batch does not count as a fall.
+    The rate is recovered at eight tenths of the rate before the fault, or of
+    the rate at the end if that is lower because fewer engines are left.
+    Rates are averaged over 0.5 s, so that one slow batch is not taken for a
+    drop.
     """
 
     def rate(at: float) -> int:
         return sum(at <= t < at + 0.5 for t in times)
 
-    before = [rate(start + 0.5 + n * _WINDOW) for n in range(10)]
-    after = [rate(start + _END_AT - 3.0 + n * _WINDOW) for n in range(20)]
-    usual = min(sorted(s)[len(s) // 2] for s in (before, after))
-    steps = int((_END_AT - _FAULT_AT - 0.5) / _WINDOW)
-    low = [
-        n * _WINDOW + _WINDOW
+    before = [rate(start + 0.5 + n * _RATE_STEP) for n in range(10)]
+    after = [rate(start + _END_AT - 3.0 + n * _RATE_STEP) for n in range(20)]
+    baseline = min(sorted(s)[len(s) // 2] for s in (before, after))
+    steps = int((_END_AT - _FAULT_AT - 0.5) / _RATE_STEP)
+    low_until = [
+        n * _RATE_STEP + _RATE_STEP
         for n in range(steps)
-        if rate(start + _FAULT_AT + n * _WINDOW) < 0.8 * usual
+        if rate(start + _FAULT_AT + n * _RATE_STEP) < 0.8 * baseline
     ]
-    return max(low, default=0.0)
+    return max(low_until, default=0.0)
 
 
-# The faults.
+# Faults.
 
 
 async def _kill(fleet: fleets.Fleet, first_layer: int) -> None:
-    fleet.kill(fleet.agents[_used(fleet, first_layer)])
+    fleet.kill(fleet.agents[_find_used_agent(fleet, first_layer)])
 
 
 async def _kill_first(fleet: fleets.Fleet) -> None:
@@ -242,37 +251,37 @@
 
 
 async def _silence_agent(fleet: fleets.Fleet) -> None:
-    fleet.links.isolate(_used(fleet, 3))  # type: ignore[union-attr]
+    fleet.links.isolate(_find_used_agent(fleet, 3))  # type: ignore[union-attr]
 
 
 async def _freeze_engine(fleet: fleets.Fleet) -> None:
-    fleet.engines[_used(fleet, 3)].faults.frozen = True
+    fleet.engines[_find_used_agent(fleet, 3)].faults.frozen = True
 
 
 async def _fail_engine(fleet: fleets.Fleet) -> None:
-    fleet.engines[_used(fleet, 3)].faults.failing = True
+    fleet.engines[_find_used_agent(fleet, 3)].faults.failing = True
 
 
-def _linked(fleet: fleets.Fleet) -> tuple[str, str]:
-    """Return two agents of which one sends to the other."""
-    one = _used(fleet, 0)
-    stages = fleet.agents[one].made.stages.stages
-    return one, next(iter(stages.values())).opened.next_name
+def _find_linked_agents(fleet: fleets.Fleet) -> tuple[str, str]:
+    """Return two agents, of which the first sends to the second."""
+    sender = _find_used_agent(fleet, 0)
+    stages = fleet.agents[sender].made.stages.stages
+    return sender, next(iter(stages.values())).opened.next_name
 
 
 async def _cut_link(fleet: fleets.Fleet) -> None:
-    one, other = _linked(fleet)
-    await fleet.links.cut(one, other)  # type: ignore[union-attr]
+    sender, receiver = _find_linked_agents(fleet)
+    await fleet.links.cut(sender, receiver)  # type: ignore[union-attr]
 
 
 async def _silence_link(fleet: fleets.Fleet) -> None:
-    one, other = _linked(fleet)
-    fleet.links.silence(one, other)  # type: ignore[union-attr]
+    sender, receiver = _find_linked_agents(fleet)
+    fleet.links.silence(sender, receiver)  # type: ignore[union-attr]
 
 
 async def _silence_open(fleet: fleets.Fleet) -> None:
-    used = _used(fleet, 0)
-    fleet.links.silence_open("entry-0", used)  # type: ignore[union-attr]
+    agent = _find_used_agent(fleet, 0)
+    fleet.links.silence_open("entry-0", agent)  # type: ignore[union-attr]
 
 
 async def _kill_entry(fleet: fleets.Fleet) -> None:
@@ -291,28 +300,28 @@
     fleet.store.wake_watches()
 
 
-async def _store_and_agent(fleet: fleets.Fleet) -> None:
+async def _lose_store_and_agent(fleet: fleets.Fleet) -> None:
     await _lose_store(fleet)
     await _kill(fleet, 3)
 
 
-async def _kill_owner(fleet: fleets.Fleet) -> None:
+async def _restart_key_owner(fleet: fleets.Fleet) -> None:
     name = "desk-0"
     fleet.kill(fleet.agents[name])
     await trio.sleep(1.0)
     await fleet.start_agent(name)
 
 
-async def _drain(fleet: fleets.Fleet) -> None:
-    await fleet.agents[_used(fleet, 3)].made.drain()
+async def _drain_agent(fleet: fleets.Fleet) -> None:
+    await fleet.agents[_find_used_agent(fleet, 3)].made.drain()
 
 
-async def _nothing(fleet: fleets.Fleet) -> None:
+async def _inject_nothing(fleet: fleets.Fleet) -> None:
     await trio.lowlevel.checkpoint()
 
 
 _FAULTS: dict[str, _Fault] = {
-    "none": _nothing,
+    "none": _inject_nothing,
     "first stage killed": _kill_first,
     "middle stage killed": _kill_middle,
     "last stage killed": _kill_last,
@@ -327,16 +336,16 @@
     "entry killed": _kill_entry,
     "distributor killed": _kill_distributor,
     "store down": _lose_store,
-    "store down, stage killed": _store_and_agent,
-    "owner of keys restarted": _kill_owner,
-    "agent drained": _drain,
+    "store down, stage killed": _lose_store_and_agent,
+    "owner of keys restarted": _restart_key_owner,
+    "agent drained": _drain_agent,
 }
 
 
 @click.command()
 @click.option("--only", default="", help="Measure one fault only.")
 def main(only: str) -> None:
-    """Measure every fault and print the table."""
+    """Measure recovery from every fault and print the table."""
     logbook.NullHandler().push_application()
     rows = []
     for name, fault in _FAULTS.items():
--- a/measure/request_path.py
+++ b/measure/request_path.py
@@ -1,9 +1,9 @@
-"""Where a gateway spends its processor time on the path of a request.
+"""Processor time of a gateway per request, by module.
 
-Plays one gateway before plain targets and engines on loopback, under a
-profiler, and prints for each module the processor time of one request: from a
-caller's bytes to the target and back.  A profiler makes small functions look
-dear, so shares count and not sums.
+Runs one gateway with plain targets and engines on loopback under a profiler.
+For each module, it prints the processor time of one request, from the
+caller's bytes to the target and back.  A profiler overstates the cost of
+small functions, so only the shares are meaningful, not the sums.
 
     python -m measure.request_path --seconds 8
 """
@@ -25,7 +25,8 @@
 from soak.play import Soak
 
 _PACKAGE = "magnoliacove"
-_LEAST_SHOWN = 0.01
+# Milliseconds per request from which a module is shown.
+_MIN_SHOWN_MS = 0.01
 
 
 class _ProfiledGateway(GatewayProcess):
@@ -45,22 +46,22 @@
 
     @property
     def profile(self) -> pathlib.Path:
-        """Where the profile is written."""
+        """The file to which the profile is written."""
         return self._settings.with_suffix(".prof")
 
 
-class _QuietPlay(Soak):
-    """Callers without faults, before one gateway."""
+class _FaultlessSoak(Soak):
+    """A soak of one gateway without faults."""
 
     def __init__(self, folder: pathlib.Path) -> None:
         super().__init__(1, 1, folder)
-        plain = self._gateways[0]
-        ports = (plain.callers_port, plain.ready_port, plain.peer_port)
+        gateway = self._gateways[0]
+        ports = (gateway.callers_port, gateway.ready_port, gateway.peer_port)
         self.gateway = _ProfiledGateway(0, ports, folder)
         self._gateways[:] = [self.gateway]
 
     def count_requests(self) -> int:
-        """Return how many requests were sent."""
+        """Return the number of completed requests."""
         return sum(self._callers.outcomes.values())
 
     async def _inject_faults(self, seconds: float) -> None:
@@ -74,7 +75,7 @@
 
 
 def _find_module(path: str) -> str:
-    """Return the module that a profiled function belongs to."""
+    """Return the module of a profiled function, by its file."""
     for package in (_PACKAGE, "trio", "h11", "httpcore", "hypercorn"):
         marker = f"/{package}/"
         if marker in path:
@@ -82,26 +83,28 @@
             if package == _PACKAGE:
                 return rest.replace("/", ".")
             return package
-    return "built in and others"
+    return "built-in and others"
 
 
 @click.command()
 @click.option("--seconds", type=float, default=8.0, show_default=True)
 def main(seconds: float) -> None:
-    """Play, and print the time of one request by module."""
+    """Run the gateway and print the time of one request by module."""
     with tempfile.TemporaryDirectory() as temporary:
-        play = _QuietPlay(pathlib.Path(temporary))
-        trio.run(play.run, seconds)
-        stats = pstats.Stats(str(play.gateway.profile))
-        count = max(1, play.count_requests())
+        soak = _FaultlessSoak(pathlib.Path(temporary))
+        trio.run(soak.run, seconds)
+        stats = pstats.Stats(str(soak.gateway.profile))
+        count = max(1, soak.count_requests())
         spent: dict[str, float] = defaultdict(float)
-        for (path, _, _), found in stats.stats.items():  # type: ignore[attr-defined]
-            spent[_find_module(path)] += found[2]
+        for (path, _, _), timings in stats.stats.items():  # type: ignore[attr-defined]
+            spent[_find_module(path)] += timings[2]
     click.echo(json.dumps({"requests": count}))
-    for module, time in sorted(spent.items(), key=lambda one: -one[1]):
-        milliseconds = time / count * 1000
-        if milliseconds >= _LEAST_SHOWN:
-            click.echo(f"{module:32} {milliseconds:7.3f} ms a request")
+    for module, seconds_spent in sorted(
+        spent.items(), key=lambda item: -item[1]
+    ):
+        milliseconds = seconds_spent / count * 1000
+        if milliseconds >= _MIN_SHOWN_MS:
+            click.echo(f"{module:32} {milliseconds:7.3f} ms per request")
 
 
 if __name__ == "__main__":
--- a/measure/routing.py
+++ b/measure/routing.py
@@ -1,8 +1,8 @@
-"""Throughput against its bound, and latency, for each way of routing.
+"""Throughput relative to its bound, and latency, for each chain chooser.
 
-``python -m measure.routing`` runs the real choosers and estimates over
-light engines under a virtual clock, in one run.  The bound is the largest
-flow through the engines, by linear programming.
+``python -m measure.routing`` runs the real choosers and estimates with
+simulated engines under a virtual clock.  The bound is the maximum flow
+through the engines, computed by linear programming.
 """
 
 from collections.abc import Callable
@@ -24,15 +24,18 @@
 _LAYERS = 32
 _BATCH = 16
 _TOKENS = 20
-_REPORT_LAG = 1.0
+# Seconds between load reports.
+_REPORT_INTERVAL = 1.0
+# Latency of links in seconds.
 _FAST_LINK = 0.0005
 _SLOW_LINK = 0.05
+# Weight of a new step time in the moving average.
 _SMOOTHING = 0.05
 
 
 @dataclass(eq=False)
 class _Engine:
-    """One engine: batches of at most 16, seven kinds of speed."""
+    """A simulated engine that runs batches of at most 16 steps."""
 
     name: str
     first_layer: int
@@ -51,17 +54,18 @@
         return messages.Load(self.streams, 0, int(self.step_seconds * 1e6))
 
     def rate(self) -> float:
-        """Return the most steps of the whole range a second."""
+        """Return the maximum number of steps of the full range per second."""
         return _BATCH / (self.fixed + self.slope * _BATCH)
 
     async def step(self, share: float) -> None:
-        began = trio.current_time()
+        """Run a step of a share of the range and update the step time."""
+        started_at = trio.current_time()
         done = trio.Event()
         self.queue.append((share, done))
         self.arrived.set()
         await done.wait()
-        # As an agent does: from a step's arrival to its output.
-        seconds = (trio.current_time() - began) / share
+        # As in an agent, the time from the arrival of a step to its output.
+        seconds = (trio.current_time() - started_at) / share
         if not self.step_seconds:
             self.step_seconds = seconds
         self.step_seconds += _SMOOTHING * (seconds - self.step_seconds)
@@ -73,7 +77,8 @@
                 await self.arrived.wait()
             batch, self.queue = self.queue[:_BATCH], self.queue[_BATCH:]
             work = sum(share for share, _ in batch)
-            # A batch of parts of the range costs their part of the time.
+            # A batch with shares of the range takes the mean share of the
+            # fixed time.
             share = work / len(batch)
             seconds = self.fixed * share + self.slope * work
             await trio.sleep(seconds)
@@ -82,7 +87,7 @@
 
 
 def _make_engines() -> list[_Engine]:
-    """Return engines of seven kinds with unequal, overlapping ranges."""
+    """Return engines of seven speeds with unequal, overlapping ranges."""
     ranges = [(0, 10), (10, 20), (20, 32), (0, 16), (16, 32)]
     kinds = [1.0, 1.0, 1.3, 1.6, 2.0, 3.0, 4.0]
     counts = [4, 4, 4, 3, 3]
@@ -104,7 +109,7 @@
 
 
 def compute_bound(engines: list[_Engine]) -> float:
-    """Return the largest flow of tokens a second through the engines."""
+    """Return the maximum flow in tokens per second through the engines."""
     cuts = sorted({e.first_layer for e in engines} | {_LAYERS})
     flows = [
         (index, p, q)
@@ -137,7 +142,7 @@
     return -result.fun
 
 
-def _link(one: str, other: str) -> float:
+def _get_latency(one: str, other: str) -> float:
     slow = {one, other} == {"e0-10-0", "e10-20-0"}
     return _SLOW_LINK if slow else _FAST_LINK
 
@@ -158,20 +163,20 @@
     measured: _Measured,
     counting: Callable[[], bool],
 ) -> None:
-    began = trio.current_time()
+    started_at = trio.current_time()
     chain = chooser.choose(options, 0, _LAYERS, entry)
     assert chain is not None
     names = tuple(stage.target for stage in chain)
     for name in names:
         entry.target(name).own += 1
         engines[name].streams += 1
-        # An agent's answer to the opening of a stage carries its load.
+        # An agent's answer to the opening of a stage contains its load.
         entry.target(name).note_report(engines[name].load)
-    last = began
+    last = started_at
     for number in range(_TOKENS):
         fed = trio.current_time()
         for before, stage in zip((entry.entry, *names), chain, strict=False):
-            await trio.sleep(_link(before, stage.target))
+            await trio.sleep(_get_latency(before, stage.target))
             engine = engines[stage.target]
             length = engine.end_layer - engine.first_layer
             share = (stage.end_layer - stage.first_layer) / length
@@ -182,7 +187,7 @@
         if counting():
             measured.tokens += 1
             if measured.first is not None and number == 0:
-                measured.first.append(now - began)
+                measured.first.append(now - started_at)
             if measured.between is not None and number:
                 measured.between.append(now - last)
         last = now
@@ -199,7 +204,13 @@
     seconds: float,
     entries: int = 4,
 ) -> _Measured:
-    """Run with so many streams always open, or at a rate of arrivals."""
+    """Run the choosers under load.
+
+    :param make: creates a chooser for each entry.
+    :param streams: number of streams that are always open.
+    :param rate: rate of arrivals of further streams per second, 0 for none.
+    :param seconds: duration; the first third is not measured.
+    """
     engines = {engine.name: engine for engine in _make_engines()}
     options = [
         routing.StageOption(e.name, e.first_layer, e.end_layer)
@@ -208,14 +219,14 @@
     views = [(routing.Estimates(f"entry-{n}"), make()) for n in range(entries)]
     rng = random.Random(7)
     measured = _Measured(first=[], between=[])
-    warm = seconds / 3
+    warm_up = seconds / 3
 
     def counting() -> bool:
-        return trio.current_time() >= start + warm
+        return trio.current_time() >= start + warm_up
 
     async def report() -> None:
         while True:
-            await trio.sleep(_REPORT_LAG)
+            await trio.sleep(_REPORT_INTERVAL)
             for view, _ in views:
                 for engine in engines.values():
                     view.target(engine.name).note_report(engine.load)
@@ -273,10 +284,10 @@
 def main(seconds: float, streams: int, only: str) -> None:
     """Measure every chooser and print the table."""
 
-    async def bound_of() -> float:
+    async def compute() -> float:
         return compute_bound(_make_engines())
 
-    bound = trio.run(bound_of)
+    bound = trio.run(compute)
     click.echo(f"bound: {bound:.1f} tokens/s")
     choosers: dict[str, Callable[[], routing.ChainChooser]] = {
         "expected delay": lambda: routing.ExpectedDelay(rng=random.Random(1)),
--- a/measure/slopes.py
+++ b/measure/slopes.py
@@ -1,7 +1,7 @@
-"""Processor time and memory of control work, against what it grows with.
+"""Processor time and memory of control work, by the size it scales with.
 
 ``python -m measure.slopes`` times the real code in this process, repeats
-each point and keeps the median.
+each measurement and takes the median.
 """
 
 from collections.abc import Callable
@@ -30,18 +30,19 @@
 from magnoliacove.wire import messages
 from measure import common
 
+# Repetitions of each measurement.
 _ROUNDS = 5
 
 
 def _time(work: Callable[[], Any], count: int) -> float:
-    """Return the median microseconds of processor time of one call."""
-    found = []
+    """Return the median processor time of one call in microseconds."""
+    times = []
     for _ in range(_ROUNDS):
-        began = time.process_time()
+        started_at = time.process_time()
         for _ in range(count):
             work()
-        found.append((time.process_time() - began) / count * 1e6)
-    return statistics.median(found)
+        times.append((time.process_time() - started_at) / count * 1e6)
+    return statistics.median(times)
 
 
 def _read_memory() -> float:
@@ -51,7 +52,7 @@
 
 
 def _make_document(objects: int) -> configuration.Document:
-    """Return a document of which half are accounts and half targets."""
+    """Return a document with equal numbers of accounts and targets."""
     half = objects // 2
     items: list[configuration.ConfigurationObject] = [
         configuration.DataCentre("gent-a", "be-vla"),
@@ -168,12 +169,12 @@
 
 
 async def _measure_connections(count: int, idle: bool) -> dict[str, Any]:
-    """Hold real connections over loopback, both ends in this process.
+    """Measure open connections over loopback, both ends in this process.
 
-    :param idle: whether heartbeats are paced by an entry's budget for idle
-        connections instead of one each 0.7 s.
+    :param idle: whether heartbeats are sent at the interval for idle
+        connections, by the budget of an entry, instead of every 0.7 s.
     """
-    pace = count * 290 / 3000 if idle else 0.7
+    interval = count * 290 / 3000 if idle else 0.7
     network, recorder = wire.Network(), timeline.Recorder("near")
     far = timeline.Recorder("far")
 
@@ -201,7 +202,7 @@
                 recorder,
                 hello,
                 ignore,
-                read_pace=lambda _: pace,
+                read_pace=lambda _: interval,
             )
             for n in range(count)
         ]
@@ -213,10 +214,10 @@
         await trio.sleep(7.0 if idle else 1.5)
         memory = _read_memory() - before
         sent = sum(p.connection.frames_sent for p in peers if p.connection)
-        began, cpu = trio.current_time(), time.process_time()
+        started_at, cpu = trio.current_time(), time.process_time()
         await trio.sleep(6)
         spent = time.process_time() - cpu
-        seconds = trio.current_time() - began
+        seconds = trio.current_time() - started_at
         pings = sum(p.connection.frames_sent for p in peers if p.connection)
         nursery.cancel_scope.cancel()
     return {
@@ -228,7 +229,7 @@
 
 
 class _InstantEngine:
-    """Answers every step at once."""
+    """An engine that answers every step at once."""
 
     async def run_steps(
         self, inputs: Sequence[targets.StepInput]
@@ -248,7 +249,7 @@
 
 
 class _Sink:
-    """Encodes what an agent sends, as its connections would."""
+    """Encodes the messages of an agent, as its connections do."""
 
     def __init__(self) -> None:
         self.waiting: list[messages.Step] = []
@@ -268,7 +269,7 @@
 
 
 async def _measure_steps(streams: int) -> dict[str, Any]:
-    """Time an agent's part of a step: read, order, batch, keep, write."""
+    """Time an agent's work for a step: read, order, batch, store, write."""
     sink = _Sink()
     runner = StageRunner(
         "here",
@@ -283,11 +284,11 @@
     async with trio.open_nursery() as nursery:
         nursery.start_soon(runner.run)
         for name in names:
-            opened = messages.OpenStage(
+            open_stage = messages.OpenStage(
                 name, 1, "llm", "a", 0, 8, "10.0.0.1:1", "next", 0, 10**6, 1
             )
-            await runner.open(sink, opened)  # type: ignore[arg-type]
-        began = time.process_time()
+            await runner.open(sink, open_stage)  # type: ignore[arg-type]
+        started_at = time.process_time()
         for step in range(rounds):
             runner.take_steps(
                 tuple(messages.Step(n, 1, step, b"x" * 16) for n in names)
@@ -295,14 +296,14 @@
             while runner.steps_run < (step + 1) * streams:
                 await trio.lowlevel.checkpoint()
             sink.flush()
-        spent = time.process_time() - began
+        spent = time.process_time() - started_at
         nursery.cancel_scope.cancel()
     return {"streams": streams, "us_per_step": spent / 6400 * 1e6}
 
 
 @click.command()
 def main() -> None:
-    """Measure every slope and print the tables."""
+    """Measure everything and print the tables and the linear fits."""
     logbook.NullHandler().push_application()
     tables = {
         "configuration": [
--- a/measure/start.py
+++ b/measure/start.py
@@ -1,9 +1,9 @@
-"""How long a gateway takes from its start to its first answer.
+"""Time from the start of a gateway to its first answer.
 
-Plays a store, a plain service and one caller on loopback, starts the
-program again and again, and prints the median of each figure.  A caller
-connects as soon as it can and sends its request at once; it waits for the
-answer as callers of a fleet do that was killed as a whole.
+Simulates a store, a plain service and one caller on loopback, starts the
+program repeatedly, and prints the median, minimum and maximum of each figure.
+The caller connects as soon as it can, sends its request at once and waits for
+the answer, like the callers of a fleet whose gateways were all killed.
 
     python -m measure.start --runs 7
 """
@@ -28,9 +28,11 @@
 from soak.targets import Ledger
 from soak.targets import Target
 
-_POLL = 0.002
+# Seconds between attempts to connect.
+_POLL_INTERVAL = 0.002
 _PORTS = (28_101, 28_102, 28_103)
-_PATIENCE = 20.0
+# Seconds within which the gateway must accept a connection.
+_CONNECT_TIMEOUT = 20.0
 _REQUEST = (
     b"GET /desk/ HTTP/1.1\r\nhost: start.example\r\nx-request-id: r-1\r\n"
     b"x-deadline-ms: 20000\r\nconnection: close\r\n\r\n"
@@ -56,10 +58,10 @@
 
 @dataclass(frozen=True)
 class StartFigures:
-    """One start; seconds since the process was begun, and what it cost.
+    """The figures of one start; times in seconds since the process started.
 
-    :param processor: seconds of processor until the first answer.
-    :param memory: most memory until then, in MB.
+    :param processor: processor time in seconds until the first answer.
+    :param memory: peak memory in MB until the first answer.
     """
 
     listening: float
@@ -70,30 +72,30 @@
 
 
 async def measure_start(gateway: GatewayProcess) -> StartFigures:
-    """Start the program once and wait for its first answer."""
-    began = time.monotonic()
+    """Start the program once, wait for its first answer and kill it."""
+    started_at = time.monotonic()
     gateway.start()
     stream = await _connect(gateway.host, gateway.callers_port)
-    listening = time.monotonic() - began
+    listening = time.monotonic() - started_at
     await stream.send_all(_REQUEST)
     answer = await stream.receive_some(4096)
-    answered = time.monotonic() - began
+    answered = time.monotonic() - started_at
     if b" 200 " not in answer:
         raise click.ClickException(f"the first answer was {answer[:80]!r}")
     processor, memory = gateway.read_usage()
     await gateway.wait_ready()
-    ready = time.monotonic() - began
+    ready = time.monotonic() - started_at
     await gateway.end(signal.SIGKILL)
     return StartFigures(listening, answered, ready, processor, memory)
 
 
 async def _connect(host: str, port: int) -> trio.SocketStream:
-    with trio.fail_after(_PATIENCE):
+    with trio.fail_after(_CONNECT_TIMEOUT):
         while True:
             try:
                 return await trio.open_tcp_stream(host, port)
             except OSError:
-                await trio.sleep(_POLL)
+                await trio.sleep(_POLL_INTERVAL)
 
 
 async def _measure(runs: int, folder: pathlib.Path) -> list[StartFigures]:
@@ -115,21 +117,21 @@
         await store.put("servers/desk-0", json.dumps(entry).encode())
         await store.put("config/main", json.dumps(_CONFIGURATION).encode())
         gateway.write_settings(address, [gateway.host])
-        found = [await measure_start(gateway) for _ in range(runs)]
+        figures = [await measure_start(gateway) for _ in range(runs)]
         nursery.cancel_scope.cancel()
-    return found
+    return figures
 
 
 @click.command(help=__doc__)
 @click.option("--runs", default=7, show_default=True)
 def main(runs: int) -> None:
     with tempfile.TemporaryDirectory() as folder:
-        found = trio.run(_measure, runs, pathlib.Path(folder))
-    columns = zip(*map(astuple, found), strict=True)
+        figures = trio.run(_measure, runs, pathlib.Path(folder))
+    columns = zip(*map(astuple, figures), strict=True)
     for field, values in zip(fields(StartFigures), columns, strict=True):
         click.echo(
             f"{field.name:10} median {statistics.median(values):7.3f}  "
-            f"least {min(values):7.3f}  most {max(values):7.3f}"
+            f"min {min(values):7.3f}  max {max(values):7.3f}"
         )
 
 
--- a/measure/tokens.py
+++ b/measure/tokens.py
@@ -1,8 +1,8 @@
-"""What a token costs an entry, beside the bare loop of hypercorn.
+"""Cost of a token in an entry, compared with a bare hypercorn server.
 
-``python -m measure.tokens`` starts an entry as a process of its own, gives
-it streams through a light agent, and reads them as a caller in another
-process.  The bare server writes the same parts to the same callers.
+``python -m measure.tokens`` starts an entry in a separate process, provides
+streams through a lightweight agent, and reads them by callers in another
+process.  The bare server writes the same chunks to the same callers.
 """
 
 import json
@@ -25,15 +25,16 @@
 from measure import common
 from measure import fake_agent
 
-_GAP = 0.068
-# As many engines as an entry keeps for one range of layers.
+# Seconds between two tokens of a stream.
+_TOKEN_INTERVAL = 0.068
+# The number of engines that an entry uses for one range of layers.
 _ENGINES = 12
 _ENTRY = "from magnoliacove.commands.entry import main; main()"
 _BARE = "from measure.bare_server import main; main()"
 
 
 async def _run_callers(url: str, streams: int, tokens: int) -> Any:
-    done = await trio.run_process(
+    process = await trio.run_process(
         [
             sys.executable,
             "-m",
@@ -44,31 +45,31 @@
         ],
         capture_stdout=True,
     )
-    return json.loads(done.stdout)
+    return json.loads(process.stdout)
 
 
 async def _measure(
     pid: int, url: str, streams: int, tokens: int
 ) -> dict[str, Any]:
     before = common.read_process(pid)
-    read = await _run_callers(url, streams, tokens)
+    results = await _run_callers(url, streams, tokens)
     after = common.read_process(pid)
     spent = after["cpu_seconds"] - before["cpu_seconds"]
     return {
         "streams": streams,
-        "tokens_per_s": read["tokens"] / read["seconds"],
-        "cpu_us_per_token": spent / read["tokens"] * 1e6,
-        "core_share": spent / read["seconds"],
-        "delay_p50_ms": read["delay_p50_ms"],
-        "delay_p95_ms": read["delay_p95_ms"],
+        "tokens_per_s": results["tokens"] / results["seconds"],
+        "cpu_us_per_token": spent / results["tokens"] * 1e6,
+        "core_share": spent / results["seconds"],
+        "delay_p50_ms": results["delay_p50_ms"],
+        "delay_p95_ms": results["delay_p95_ms"],
         "memory_mb": after["memory_mb"],
     }
 
 
 async def _prepare(nursery: trio.Nursery) -> str:
-    """Serve a store that names one agent; return its URL."""
+    """Serve a store with the entry of one agent; return its URL."""
     store = object_api.ObjectStore()
-    agent = fake_agent.FakeAgent("llm-0-0", _GAP, groups=_ENGINES)
+    agent = fake_agent.FakeAgent("llm-0-0", _TOKEN_INTERVAL, groups=_ENGINES)
     address = await nursery.start(agent.run, wire.Network())
     journal = configuration.Journal(store)
     objects: list[configuration.ConfigurationObject] = [
@@ -133,11 +134,11 @@
         nursery.cancel_scope.cancel()
     common.show_table(rows)
     ratios = [
-        one["cpu_us_per_token"] / other["cpu_us_per_token"]
-        for one, other in zip(rows[::2], rows[1::2], strict=True)
+        entry_row["cpu_us_per_token"] / bare_row["cpu_us_per_token"]
+        for entry_row, bare_row in zip(rows[::2], rows[1::2], strict=True)
     ]
     click.echo(
-        "entry / bare, pair by pair: "
+        "entry / bare, by pair: "
         + " ".join(f"{ratio:.2f}" for ratio in ratios)
     )
     points = [(r["tokens_per_s"], r["core_share"]) for r in rows[::2]]
@@ -149,7 +150,7 @@
 async def _start(
     program: str, *flags: str
 ) -> tuple[subprocess.Popen[str], str]:
-    """Start a child and return it with its first line of output."""
+    """Start a child process; return it and its first line of output."""
 
     def start() -> tuple[subprocess.Popen[str], str]:
         child = subprocess.Popen(
--- a/soak/crashes.py
+++ b/soak/crashes.py
@@ -27,7 +27,7 @@
 from soak.targets import Ledger
 from soak.targets import Target
 
-__all__ = ["Crash", "CrashSoak", "EngineFault", "Reply"]
+__all__ = ["CrashSoak", "EngineCrash", "EngineFault", "Reply"]
 
 _ENGINES = 9
 _GATEWAYS = 4
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True)
-class Crash:
+class EngineCrash:
     """The crash of one engine, by the monotonic clock."""
 
     engine: str
@@ -163,7 +163,7 @@
 class CrashSoak(Soak):
     """A soak with engines that one request crashes.
 
-    :param crashes: the crashes of engines, in order.
+    :param engine_crashes: the crashes of engines, in order.
     :param replies: the outcomes of all other streams.
     """
 
@@ -175,7 +175,7 @@
         engine_fault: EngineFault = EngineFault.REFUSES,
     ) -> None:
         super().__init__(seed, _GATEWAYS, folder)
-        self.crashes: list[Crash] = []
+        self.engine_crashes: list[EngineCrash] = []
         self.replies: list[Reply] = []
         self._gateway_fault = gateway_fault
         self._callers_rng = random.Random(seed)
@@ -199,10 +199,10 @@
 
         :param after: seconds from the third crash.
         """
-        if len(self.crashes) < 3:
+        if len(self.engine_crashes) < 3:
             return []
-        limit = self.crashes[2].at + after
-        return [crash.at for crash in self.crashes if crash.at > limit]
+        limit = self.engine_crashes[2].at + after
+        return [crash.at for crash in self.engine_crashes if crash.at > limit]
 
     def measure_served(self, paths: Sequence[str], last: float) -> float:
         """Return the share of streams that received a complete answer.
@@ -241,7 +241,7 @@
         )
 
     def _record_crash(self, name: str) -> None:
-        self.crashes.append(Crash(name, time.monotonic()))
+        self.engine_crashes.append(EngineCrash(name, time.monotonic()))
 
     async def _inject_faults(self, seconds: float) -> None:
         callers = {
--- a/soak/pressure.py
+++ b/soak/pressure.py
@@ -132,7 +132,7 @@
             self._targets[name] for name in ("desk-0", "llm-0")
         ]
         # When each gateway was killed or resumed after it was frozen.
-        self._excused: dict[str, list[float]] = {}
+        self._fault_times: dict[str, list[float]] = {}
 
     async def _inject_faults(self, seconds: float) -> None:
         with trio.move_on_after(seconds):
@@ -141,7 +141,7 @@
                     inject_gateway_fault,
                     self._gateways,
                     self._gateway_fault,
-                    self._excuse,
+                    self._record_fault,
                 )
                 for number in range(_CALLERS):
                     kinds = ("stream", "idempotent", "stream", "once")
@@ -154,8 +154,8 @@
     async def _check_recovery(self) -> None:
         """Skip the check: no fault outlasts the run."""
 
-    def _excuse(self, gateway: str) -> None:
-        self._excused.setdefault(gateway, []).append(time.monotonic())
+    def _record_fault(self, gateway: str) -> None:
+        self._fault_times.setdefault(gateway, []).append(time.monotonic())
 
     async def _call(self, kind: str) -> None:
         while True:
@@ -207,7 +207,7 @@
         for refusal in target.refusals:
             gateway = self._callers.sent_to[refusal.request]
             begin, end = refusal.at + _NOTICE_DELAY, refusal.at + BACK_OFF
-            if self._is_excused(gateway, refusal.at, end):
+            if self._had_fault(gateway, refusal.at, end):
                 continue
             counts.append(
                 self._count_requests_from(target, gateway, begin, end)
@@ -227,7 +227,7 @@
                 continue
             gateway = self._callers.sent_to[arrival.request]
             since = noticed_at.setdefault(gateway, arrival.at)
-            if self._is_excused(gateway, since, arrival.at):
+            if self._had_fault(gateway, since, arrival.at):
                 noticed_at[gateway] = arrival.at
             elif arrival.at > since + _DRAIN_SECONDS:
                 late.append(arrival.at - since)
@@ -261,9 +261,9 @@
         if not arrival.request:
             return True
         gateway = self._callers.sent_to[arrival.request]
-        excused = self._excused.get(gateway, [])
-        since = max((at for at in excused if at < arrival.at), default=0.0)
-        if excused and arrival.at < since + _CONVERGENCE_TIME:
+        fault_times = self._fault_times.get(gateway, [])
+        since = max((at for at in fault_times if at < arrival.at), default=0.0)
+        if fault_times and arrival.at < since + _CONVERGENCE_TIME:
             return False
         return any(
             self._callers.sent_to.get(other.request) == gateway
@@ -273,6 +273,8 @@
             for other in target.arrivals
         )
 
-    def _is_excused(self, gateway: str, begin: float, end: float) -> bool:
+    def _had_fault(self, gateway: str, begin: float, end: float) -> bool:
         """Return whether a gateway was killed or resumed in a period."""
-        return any(begin <= at <= end for at in self._excused.get(gateway, []))
+        return any(
+            begin <= at <= end for at in self._fault_times.get(gateway, [])
+        )
--- a/soak/restores.py
+++ b/soak/restores.py
@@ -114,4 +114,6 @@
             )
 
     def _count_runs(self, name: str) -> int:
-        return sum(runs.count(name) for runs in self._ledger.runs.values())
+        return sum(
+            targets.count(name) for targets in self._ledger.runs.values()
+        )
--- a/tests/gateway/test_limit_sharing.py
+++ b/tests/gateway/test_limit_sharing.py
@@ -18,11 +18,11 @@
     made = {}
     gateways[0].clock.now += 0.15
     for gateway in gateways:
-        news = gateway.beat()
+        news = gateway.make_heartbeat()
         made[gateway.name] = news.grants
         for other in gateways:
             if other is not gateway:
-                other.hear(news)
+                other.receive(news)
     return made
 
 
@@ -58,7 +58,7 @@
     before = _beat_all(gateways)
     late = limits.Gateway("g-late", clock, random.Random(2))
     _name_limit(late)
-    assert late.beat().grants == ()
+    assert late.make_heartbeat().grants == ()
     gateways.append(late)
     made = _beat_all(gateways)
     assert made["g-late"] == ()
@@ -72,7 +72,7 @@
     [alone], clock = _make_fleet(1)
     clock.now += 3.0
     _name_limit(alone)
-    alone.beat()
+    alone.make_heartbeat()
     assert alone.grants.read_rate(limits.ENGINE) == pytest.approx(1.2)
 
 
--- a/tests/soak/test_crashes.py
+++ b/tests/soak/test_crashes.py
@@ -47,14 +47,14 @@
 @pytest.mark.parametrize(
     ("gateway_fault", "engine_fault"),
     [*_REFUSING, *_NOT_REFUSING],
-    ids=lambda fault: fault.name,
+    ids=lambda value: value.name,
 )
 def test_a_request_that_crashes_engines_is_quarantined(
     gateway_fault, engine_fault, tmp_path
 ):
     soak = crashes.CrashSoak(1, gateway_fault, tmp_path, engine_fault)
     assert trio.run(soak.run, _SECONDS) == []
-    assert len(soak.crashes) >= 3
+    assert len(soak.engine_crashes) >= 3
     assert len(soak.list_late_runs(_PROPAGATION_TIME)) <= _MAX_LATE_RUNS
     others = soak.measure_served(["/stream/own"], _CALM_SECONDS)
     assert others >= _MIN_SERVED
