--- a/measure/herd.py
+++ b/measure/herd.py
@@ -335,7 +335,7 @@
                 self._rerouted[1] += not choice[2]
 
 
-def play(fleet: Fleet, policy: Policy, seed: int) -> Result:
+def simulate(fleet: Fleet, policy: Policy, seed: int) -> Result:
     """Simulate a fleet with one policy and return the result."""
     return _Simulation(fleet, policy, seed).run()
 
@@ -369,7 +369,7 @@
             lost = engines // 13
             fleet = Fleet(gateways, engines, places, interval, lost)
             for name, policy in _POLICIES.items():
-                result = asdict(play(fleet, policy, seed=1))
+                result = asdict(simulate(fleet, policy, seed=1))
                 row = {"way": name, **asdict(fleet), **result}
                 rows.append(row)
                 common.write_result("herd", {"rows": rows})
--- a/measure/limits.py
+++ b/measure/limits.py
@@ -28,7 +28,7 @@
 from magnoliacove.timeline import Recorder
 from magnoliacove.wire import Address
 
-__all__ = ["POLICIES", "Play", "Result"]
+__all__ = ["POLICIES", "Simulation", "Result"]
 
 ENGINE = "i-1"
 _SERVICE = "llm"
@@ -132,9 +132,7 @@
         )
         limit = self.clock.now - peer_timeout
         return [
-            heartbeat
-            for heartbeat in self.received.values()
-            if heartbeat.heard_at >= limit
+            peer for peer in self.received.values() if peer.heard_at >= limit
         ]
 
     def list_names(self) -> list[str]:
@@ -221,7 +219,7 @@
     "even shares": share_evenly,
     "turns in time": take_turns,
     "one sends for all": send_for_all,
-    "grants": use_grants,
+    "granted shares": use_grants,
 }
 
 
@@ -238,7 +236,7 @@
 
 
 @dataclass
-class Play:
+class Simulation:
     """A simulation of gateways and an engine that announces a limit.
 
     :param rate: the limit of the engine in requests per second.
@@ -339,7 +337,7 @@
         if now >= _LIMIT_AT:
             gateway.informed_at = min(gateway.informed_at, now)
             notice = TargetNotice(rate_limit=self.rate)
-            gateway.book.take(ENGINE, notice, "play")
+            gateway.book.take(ENGINE, notice, "simulation")
 
     def _evaluate(self, seconds: float) -> Result:
         begin = max(_LIMIT_AT + _CONVERGENCE_TIME, self.quiet_until)
@@ -376,8 +374,10 @@
         for rate in (1.2, 12.0):
             for name, policy in POLICIES.items():
                 for fault, settings in _FAULTS.items():
-                    play = Play(policy, count, rate, **settings)
-                    result = play.run(max(24.0, play.quiet_until + 10.0))
+                    simulation = Simulation(policy, count, rate, **settings)
+                    result = simulation.run(
+                        max(24.0, simulation.quiet_until + 10.0)
+                    )
                     print(
                         f"{count} | {rate:g} | {name} | {fault} | "
                         f"{result.excess:+.1f} | {result.part:.2f}",
--- a/tests/limits/test_grants.py
+++ b/tests/limits/test_grants.py
@@ -163,7 +163,7 @@
     Gateways are killed, cut off and start; none may count on another one, and
     the engine gets about what it takes all the same.
     """
-    play = limits.Play(limits.use_grants, count, **trouble)
+    play = limits.Simulation(limits.use_grants, count, **trouble)
     result = play.run(20.0)
     assert result.excess <= 0.0
     assert result.part >= 2 / 3
@@ -182,17 +182,19 @@
 @pytest.mark.parametrize("count", [4, 12, 68])
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_limit_holds_in_heavy_trouble(count, trouble, seed):
-    play = limits.Play(limits.use_grants, count, seed=seed, **trouble)
+    play = limits.Simulation(limits.use_grants, count, seed=seed, **trouble)
     assert play.run(max(18.0, play.quiet_until + 6.0)).excess <= 0.0
 
 
 @pytest.mark.parametrize("rate", [0.0, 0.3, 4.0, 20.0])
 def test_limits_of_any_size_hold(rate):
-    play = limits.Play(limits.use_grants, 12, rate, kill_every=2.0)
+    play = limits.Simulation(limits.use_grants, 12, rate, kill_every=2.0)
     assert play.run(16.0).excess <= 0.0
 
 
 def test_a_limit_holds_over_hundreds_of_gateways():
     """Their heartbeats are seconds apart, and parts are handed out by them."""
-    play = limits.Play(limits.use_grants, 330, demand=1.0, kill_every=1.0)
+    play = limits.Simulation(
+        limits.use_grants, 330, demand=1.0, kill_every=1.0
+    )
     assert play.run(10.0).excess <= 0.0
--- a/tests/routing/test_herd.py
+++ b/tests/routing/test_herd.py
@@ -19,14 +19,14 @@
 @pytest.fixture(scope="module")
 def fresh():
     """Return what comes of taking the news for the present."""
-    return herd.play(_LARGE, herd.choose_by_reported_loads, seed=1)
+    return herd.simulate(_LARGE, herd.choose_by_reported_loads, seed=1)
 
 
 @pytest.fixture(scope="module")
 def ours():
     """Return what comes of reckoning with what is unheard, three times."""
     return [
-        herd.play(_LARGE, herd.choose_with_unreported, seed)
+        herd.simulate(_LARGE, herd.choose_with_unreported, seed)
         for seed in (1, 2, 3)
     ]
 
@@ -61,7 +61,7 @@
 
     Requests must not be sent to slower engines for fear of others.
     """
-    fresh = herd.play(_SMALL, herd.choose_by_reported_loads, seed=1)
-    ours = herd.play(_SMALL, herd.choose_with_unreported, seed=1)
+    fresh = herd.simulate(_SMALL, herd.choose_by_reported_loads, seed=1)
+    ours = herd.simulate(_SMALL, herd.choose_with_unreported, seed=1)
     assert ours.overfilled <= fresh.overfilled
     assert ours.mean_seconds <= 1.05 * fresh.mean_seconds
