--- a/measure/limits.py
+++ b/measure/limits.py
@@ -28,7 +28,7 @@
 from magnoliacove.timeline import Recorder
 from magnoliacove.wire import Address
 
-__all__ = ["POLICIES", "Simulation", "Result"]
+__all__ = ["POLICIES", "Result", "Simulation"]
 
 ENGINE = "i-1"
 _SERVICE = "llm"
