--- a/tests/gateway/test_limit_sharing.py
+++ b/tests/gateway/test_limit_sharing.py
@@ -18,11 +18,11 @@
     issued = {}
     gateways[0].clock.now += 0.15
     for gateway in gateways:
-        update = gateway.beat()
+        update = gateway.make_heartbeat()
         issued[gateway.name] = update.grants
         for other in gateways:
             if other is not gateway:
-                other.hear(update)
+                other.receive(update)
     return issued
 
 
@@ -61,7 +61,7 @@
     before = _beat_all(gateways)
     newcomer = limits.Gateway("g-late", clock, random.Random(2))
     _report_limit(newcomer)
-    assert newcomer.beat().grants == ()
+    assert newcomer.make_heartbeat().grants == ()
     gateways.append(newcomer)
     issued = _beat_all(gateways)
     assert issued["g-late"] == ()
@@ -75,7 +75,7 @@
     [alone], clock = _make_fleet(1)
     clock.now += 3.0
     _report_limit(alone)
-    alone.beat()
+    alone.make_heartbeat()
     assert alone.grants.read_rate(limits.ENGINE) == pytest.approx(1.2)
 
 
--- a/tests/routing/test_herd.py
+++ b/tests/routing/test_herd.py
@@ -19,14 +19,14 @@
 @pytest.fixture(scope="module")
 def fresh():
     """Return the result of taking load reports as current."""
-    return herd.play(_LARGE, herd.choose_as_if_fresh, seed=1)
+    return herd.simulate(_LARGE, herd.choose_by_reported_loads, seed=1)
 
 
 @pytest.fixture(scope="module")
 def estimated():
     """Return three results of estimating the unreported requests."""
     return [
-        herd.play(_LARGE, herd.choose_after_unheard, seed)
+        herd.simulate(_LARGE, herd.choose_with_unreported, seed)
         for seed in (1, 2, 3)
     ]
 
@@ -66,7 +66,7 @@
 
     Requests must not go to slower engines because of few other requests.
     """
-    fresh = herd.play(_SMALL, herd.choose_as_if_fresh, seed=1)
-    estimated = herd.play(_SMALL, herd.choose_after_unheard, seed=1)
+    fresh = herd.simulate(_SMALL, herd.choose_by_reported_loads, seed=1)
+    estimated = herd.simulate(_SMALL, herd.choose_with_unreported, seed=1)
     assert estimated.overfilled <= fresh.overfilled
     assert estimated.mean_seconds <= 1.05 * fresh.mean_seconds
