--- a/magnoliacove/gateway/callers.py
+++ b/magnoliacove/gateway/callers.py
@@ -1,9 +1,9 @@
 """Callers' connections: reading requests and writing answers.
 
-The server of the other interface closes a connection without reporting whether
-a request on it was already accepted, and reports that a caller disconnected
-only between two reads of a body.  The gateway needs both, so it uses the
-server's parser, h11, directly.
+The server of the metrics, hypercorn, closes a connection without reporting
+whether a request on it was already accepted, and reports that a caller
+disconnected only between two reads of a body.  The gateway needs to know both,
+so it uses hypercorn's parser, h11, directly.
 """
 
 from collections.abc import Awaitable
@@ -22,6 +22,7 @@
 
 Headers = Sequence[tuple[bytes, bytes]]
 
+# Bytes that one read of a connection returns at most.
 _READ_SIZE = 65536
 # Bytes of further requests that are buffered while one is answered.
 _MAX_PIPELINED = 65536
--- a/magnoliacove/gateway/calls.py
+++ b/magnoliacove/gateway/calls.py
@@ -73,12 +73,12 @@
     def __init__(
         self,
         state: GatewayState,
-        crashes: CrashWatch,
+        crash_watch: CrashWatch,
         exchange: Exchange,
         routed: RoutedRequest,
     ) -> None:
         self._state = state
-        self._crashes = crashes
+        self._crash_watch = crash_watch
         self._exchange = exchange
         self._routed = routed
         self._tried: list[str] = []
@@ -112,7 +112,7 @@
                     self._ran.append(result.target.name)
                 if result.final:
                     break
-                started = self._may_repeat(result) and self._start(
+                started = self._may_retry(result) and self._start(
                     nursery, send
                 )
                 in_progress = started or bool(self._working)
@@ -149,7 +149,7 @@
             )
             with trio.move_on_after(delay):
                 return await receive.receive()
-            if self._state.budget.try_spend(self._routed.service.name):
+            if self._state.retry_budget.try_spend(self._routed.service.name):
                 self._start(nursery, send)
         return await receive.receive()
 
@@ -160,7 +160,7 @@
             return False
         return self._state.may_repeat(self._routed.fingerprint)
 
-    def _may_repeat(self, result: _Result) -> bool:
+    def _may_retry(self, result: _Result) -> bool:
         """Return whether the request may be tried again after a result."""
         state, routed = self._state, self._routed
         self._record_failure(result)
@@ -173,7 +173,7 @@
             # The request reached no target, so this is not a repeat and
             # needs no retry budget.
             return True
-        return state.budget.try_spend(routed.service.name)
+        return state.retry_budget.try_spend(routed.service.name)
 
     def _start(
         self,
@@ -227,7 +227,7 @@
         except TargetError as exc:
             result = _Result(target, error=exc)
             if exc.outcome is not errors.Outcome.NOT_RUN:
-                self._crashes.check_broken_run(
+                self._crash_watch.check_broken_run(
                     target, self._routed, trio.current_time() - began
                 )
         finally:
--- a/magnoliacove/gateway/channels.py
+++ b/magnoliacove/gateway/channels.py
@@ -1,8 +1,8 @@
 """HTTP connections to targets, with one request at a time on each.
 
-The parser is h11.  The connection pool of the usual HTTP client closes a
-connection with an unread stray answer, and thereby loses the answer that
-follows it.  It also does not distinguish a connection that broke before
+The parser is h11.  The connection pool of httpcore, the usual HTTP client,
+closes a connection with an unread stray answer, and thereby loses the answer
+that follows it.  It also does not distinguish a connection that broke before
 anything was sent from one that broke afterwards.
 """
 
@@ -24,10 +24,12 @@
 # announces less; the margin, in seconds, allows for the time in transit.
 _MAX_IDLE = 8.0
 _IDLE_MARGIN = 1.0
+# Bytes that one read of a connection returns at most.
 _READ_SIZE = 65536
 # Bytes of a request that fit into the socket's buffer, so that it is sent
 # without a second task.
 _SMALL_BODY = 8192
+# Number of answers to other requests after which an exchange fails.
 _MAX_STRAY_ANSWERS = 3
 
 
--- a/magnoliacove/gateway/crashes.py
+++ b/magnoliacove/gateway/crashes.py
@@ -154,7 +154,7 @@
         first one is known.
         """
         probe = self._probes.get(target)
-        if probe is None or not self._state.crashes.has_recent_crash(
+        if probe is None or not self._state.crash_history.has_recent_crash(
             fingerprint
         ):
             return
@@ -164,7 +164,7 @@
     def note_answered(self, fingerprint: str) -> None:
         """Record that a request was answered in full, so it is harmless."""
         state = self._state
-        state.crashes.note_answered(fingerprint)
+        state.crash_history.note_answered(fingerprint)
         ended = state.quarantine.end(fingerprint, "it was answered")
         if ended is not None:
             self._settle_expired()
@@ -183,16 +183,16 @@
         """
         for name in names:
             target = self._state.targets.find(name)
-            asked = self._probes.get(name)
-            lives = asked is not None and asked.ended is False
-            if target is not None and not lives:
+            probe = self._probes.get(name)
+            found_alive = probe is not None and probe.ended is False
+            if target is not None and not found_alive:
                 self.check_broken_run(target, routed, seconds)
 
     # Reports of peers.
 
     def record_reported_crash(self, run: CrashedRun, age: float) -> None:
         """Record a crash that a peer observed."""
-        crashes = self._state.crashes
+        crashes = self._state.crash_history
         if not crashes.note_crash(run, age=age, own=False):
             return
         self._changed.set()
@@ -202,9 +202,9 @@
             # harmless.
             self._announce()
 
-    def forget(self) -> None:
+    def discard_old(self) -> None:
         """Discard crashes and probes that are too old to count."""
-        self._state.crashes.forget_old()
+        self._state.crash_history.forget_old()
         self._settle_expired()
         limit = trio.current_time() - _PROBE_RETENTION
         for name, probe in list(self._probes.items()):
@@ -215,8 +215,8 @@
 
     async def _run_probe(self, target: ListedTarget, probe: _Probe) -> None:
         ended = None
-        for after in _PROBE_DELAYS:
-            await trio.sleep_until(probe.started_at + after)
+        for delay in _PROBE_DELAYS:
+            await trio.sleep_until(probe.started_at + delay)
             ended = await self._has_ended(target)
             if ended is not None:
                 break
@@ -274,9 +274,9 @@
 
         :raises TargetError: when there is no answer.
         """
-        may_ask = self._state.permits.try_call
-        if not target.accelerator or not may_ask(target.name):
-            # A plain service has no report, and an engine that names a limit
+        may_call = self._state.permits.try_call
+        if not target.accelerator or not may_call(target.name):
+            # A plain service has no report, and an engine that reports a limit
             # or asks for back-off may not permit a call.  A target that
             # accepts a connection is running.
             async with self._state.pool.use(target, fresh=True):
@@ -287,11 +287,11 @@
     def _record_silent(self, runs: Iterable[CrashedRun]) -> None:
         """Record that the target of some runs does not answer."""
         for run in runs:
-            self._state.crashes.silent.note(run)
+            self._state.crash_history.silent.note(run)
         self._announce()
 
     def _record_result(self, ended: bool, run: CrashedRun) -> None:
-        crashes = self._state.crashes
+        crashes = self._state.crash_history
         crashes.silent.drop(run)
         if not ended:
             crashes.note_run(run.fingerprint, run.seconds)
@@ -300,6 +300,7 @@
             self._changed.set()
 
     # Attributing crashes to requests.
+
     async def _wait_until_settled(self) -> None:
         """Wait until no further crashes are reported."""
         limit = trio.current_time() + _MAX_SETTLE_TIME
@@ -307,14 +308,14 @@
             self._changed = trio.Event()
             with trio.move_on_after(_QUIET_PERIOD):
                 await self._changed.wait()
-        if not self._state.crashes.list_own():
+        if not self._state.crash_history.list_own():
             await trio.sleep(random.uniform(*_NON_OBSERVER_DELAY))
 
     def _update_quarantines(self) -> None:
         state = self._state
         self._settle_expired()
         quarantines = state.quarantine.list_all()
-        causes = state.crashes.find_causes(
+        causes = state.crash_history.find_causes(
             active.fingerprint for active in quarantines
         )
         begun = [
@@ -327,7 +328,7 @@
         ]
         why = "another target ended while it ran it"
         for active in quarantines:
-            last = state.crashes.read_last_crash(active.fingerprint)
+            last = state.crash_history.read_last_crash(active.fingerprint)
             if state.quarantine.crashed_again(active.fingerprint, last):
                 begun.append(
                     state.quarantine.begin(
@@ -345,9 +346,10 @@
 
         Otherwise the next report of any crash would begin it again.
         """
-        active_now = {
-            active.fingerprint for active in self._state.quarantine.list_all()
+        active = {
+            quarantine.fingerprint
+            for quarantine in self._state.quarantine.list_all()
         }
-        for fingerprint in self._quarantined - active_now:
-            self._state.crashes.clear_crashes(fingerprint)
-        self._quarantined = active_now
+        for fingerprint in self._quarantined - active:
+            self._state.crash_history.clear_crashes(fingerprint)
+        self._quarantined = active
--- a/magnoliacove/gateway/delivery.py
+++ b/magnoliacove/gateway/delivery.py
@@ -175,7 +175,7 @@
         await self._send(lambda: self._exchange.start(200, [*copied, chunked]))
 
     async def _send(self, send: Callable[[], Awaitable[None]]) -> None:
-        """Send data to the caller without interruption by a move.
+        """Send data to the caller; a move to another path waits for it.
 
         If a move cancelled a write, the caller would receive a part of the
         data, followed by data of the next path: an invalid answer.  So a move
--- a/magnoliacove/gateway/engine_checks.py
+++ b/magnoliacove/gateway/engine_checks.py
@@ -127,13 +127,15 @@
     ) -> None:
         """Replace the recorded status of an engine by its report."""
         state = self._state
-        holding = EngineStatus(
+        engine_status = EngineStatus(
             report.layers, report.loading, report.slowness, report.used
         )
         restarted = state.targets.note_incarnation(
             target.entry, report.incarnation, directly=True
         )
-        if restarted or not state.holdings.correct(target.name, holding):
+        if restarted or not state.engine_statuses.correct(
+            target.name, engine_status
+        ):
             return
         state.recorder.record(
             "holding-corrected",
@@ -142,7 +144,7 @@
             layers=str(report.layers),
             loading=report.loading,
         )
-        state.room.fill()
+        state.capacity_queue.fill()
         self._announce()
 
     async def _check_leaving(
@@ -168,7 +170,7 @@
                     target.name, f"no health check: {error}"
                 )
 
-    def forget(self, listed: set[str]) -> None:
-        """Discard the state of targets that no longer exist."""
+    def discard_unlisted(self, listed: set[str]) -> None:
+        """Discard the state of targets that are no longer listed."""
         for name in set(self._checked_at) - listed:
             del self._checked_at[name]
--- a/magnoliacove/gateway/limit_sharing.py
+++ b/magnoliacove/gateway/limit_sharing.py
@@ -76,7 +76,7 @@
         targets: TargetList,
         book: BackpressureBook,
         grants: GrantBook,
-        unheard: UnreportedRequests,
+        unreported: UnreportedRequests,
         list_live: Callable[[], Iterable[LivePeer]],
         is_leaving: Callable[[], bool],
         read_time: Callable[[], float] = trio.current_time,
@@ -85,7 +85,7 @@
         self._targets = targets
         self._book = book
         self._grants = grants
-        self._unheard = unheard
+        self._unreported = unreported
         self._list_live = list_live
         self._is_leaving = is_leaving
         self._read_time = read_time
@@ -176,7 +176,7 @@
                 yield peer.heartbeat.name
         if (
             not self._is_leaving()
-            and self._unheard.counted_for >= _MIN_COUNTED_TIME
+            and self._unreported.counted_for >= _MIN_COUNTED_TIME
         ):
             yield self._name
 
@@ -186,7 +186,7 @@
         listed = self._targets.find(target)
         service = listed.service if listed is not None else ""
         return {
-            name: self._unheard.read_pace(
+            name: self._unreported.read_pace(
                 service, "" if name == self._name else name
             )
             for name in gateways
--- a/magnoliacove/gateway/path_reservations.py
+++ b/magnoliacove/gateway/path_reservations.py
@@ -20,7 +20,7 @@
 
 # The fraction of the answer's likely length that is reserved; streams in
 # progress have written half of their answers on average.
-_RESERVED_ANSWER_PART = 0.8
+_RESERVED_ANSWER_FRACTION = 0.8
 
 
 class PathReservation:
@@ -48,7 +48,7 @@
             self._routed.caller_headers.prompt_tokens
             or self.shape.usual_prompt
         )
-        return prompt, self._answer_tokens * _RESERVED_ANSWER_PART
+        return prompt, self._answer_tokens * _RESERVED_ANSWER_FRACTION
 
     def avoid(self, target: str) -> None:
         """Use an engine only if there is no path without it."""
@@ -71,7 +71,7 @@
             self.path, self.first_target = path, first
             self._reservation = state.loads.reserve_path(path, costs.tokens)
             state.permits.note_sent(path.targets)
-            state.get_gap_clock(self._routed.service.name).note(True)
+            state.get_gap_estimator(self._routed.service.name).note(True)
             return path
         self._note_waiting(costs.tokens)
         return None
@@ -101,11 +101,11 @@
         """
         service = self._routed.service.name
         wait = self._state.candidates.read_first_engine_wait(
-            service, self._state.room.waiting
+            service, self._state.capacity_queue.waiting
         )
         if wait > 0.0:
             return wait
-        gaps = self._state.get_gap_clock(service)
+        gaps = self._state.get_gap_estimator(service)
         gaps.note(
             self._state.candidates.covers_all_layers(service, self.shape)
         )
@@ -130,7 +130,7 @@
         if self._reservation is not None:
             self._state.loads.release(self._reservation)
         self.path, self._reservation = path, reservation
-        self._state.room.fill()
+        self._state.capacity_queue.fill()
 
     def release_path(self) -> None:
         """Release the path and its capacity."""
@@ -139,7 +139,7 @@
             self._reservation = None
         self.path = self.first_target = None
         self._waiting_recorded = False
-        self._state.room.fill()
+        self._state.capacity_queue.fill()
 
     def measure_slowness(self) -> float:
         """Return the slowness of the path's slowest engine.
@@ -149,7 +149,7 @@
         if self.path is None:
             return 1.0
         targets = map(self._state.targets.find, self.path.targets)
-        read = self._state.holdings.read
+        read = self._state.engine_statuses.read
         return max(
             (read(target).slowness for target in targets if target),
             default=1.0,
@@ -210,7 +210,7 @@
             room=describe_bottlenecks(
                 self._list_options(()), self.shape.layers
             ),
-            waiting=self._state.room.waiting,
+            waiting=self._state.capacity_queue.waiting,
             avoided=sorted(self._avoided),
         )
 
--- a/magnoliacove/gateway/peering.py
+++ b/magnoliacove/gateway/peering.py
@@ -37,7 +37,7 @@
 _SNAPSHOT_SERVER_DELAY = 1.0
 # Maximum number of engines whose status one heartbeat reports: more than a few
 # hundred gateways need, and a third of the capacity of one datagram.
-_MAX_HOLDINGS = 1_000
+_MAX_REPORTED_STATUSES = 1_000
 
 
 class PeerExchange:
@@ -53,10 +53,10 @@
         settings: NodeSettings,
         incarnation: int,
         is_acting: Callable[[], bool],
-        crashes: CrashWatch,
+        crash_watch: CrashWatch,
     ) -> None:
         self._state = state
-        self._crashes = crashes
+        self._crash_watch = crash_watch
         self._store = store
         self._incarnation = incarnation
         self._is_acting = is_acting
@@ -106,7 +106,7 @@
         grants = self._sharing.issue_grants()
         if grants:
             # Engines with a limit admit further requests as time passes.
-            state.room.fill()
+            state.capacity_queue.fill()
         return Heartbeat(
             name=state.name,
             address=str(self._address),
@@ -125,10 +125,10 @@
                 for s in state.health.list_suspicions()
             ),
             holdings=tuple(
-                ReportedHolding(target, age, holding)
-                for target, age, holding in self._list_holdings()
+                ReportedHolding(target, age, status)
+                for target, age, status in self._list_engine_statuses()
             ),
-            services=state.budget.list_counts(),
+            services=state.retry_budget.list_counts(),
             recent=state.unreported.list_counts(),
             counted_for=state.unreported.counted_for,
             peers=peers,
@@ -136,7 +136,7 @@
             newest_change=state.targets.newest_change,
             store_era=self._store.era.number,
             crashes=self._list_crashes(),
-            answered=state.crashes.list_answered(),
+            answered=state.crash_history.list_answered(),
             limits=tuple(state.backpressure.list_own()),
             grants=grants,
             quarantines=tuple(
@@ -148,7 +148,7 @@
         )
 
     def _list_crashes(self) -> tuple[ReportedCrash, ...]:
-        crashes = self._state.crashes
+        crashes = self._state.crash_history
         return (
             *(ReportedCrash(run, age) for run, age in crashes.list_own()),
             *(
@@ -157,7 +157,7 @@
             ),
         )
 
-    def _list_holdings(self) -> list[tuple[str, float, EngineStatus]]:
+    def _list_engine_statuses(self) -> list[tuple[str, float, EngineStatus]]:
         """Return the engine statuses to report in a heartbeat.
 
         The placement leader reports all fresh ones, the others those that a
@@ -166,11 +166,11 @@
         and its sender is considered unreachable.
         """
         if self._is_acting():
-            fresh = self._state.holdings.list_fresh()
-            if len(fresh) <= _MAX_HOLDINGS:
+            fresh = self._state.engine_statuses.list_fresh()
+            if len(fresh) <= _MAX_REPORTED_STATUSES:
                 return fresh
-            return self._state.rng.sample(fresh, _MAX_HOLDINGS)
-        return self._state.holdings.list_corrected()
+            return self._state.rng.sample(fresh, _MAX_REPORTED_STATUSES)
+        return self._state.engine_statuses.list_corrected()
 
     def _take_heartbeat(self, heartbeat: Heartbeat) -> None:
         state = self._state
@@ -178,7 +178,7 @@
         state.loads.take_others(
             heartbeat.name, heartbeat.loads, heartbeat.crossings
         )
-        state.budget.take_others(heartbeat.name, heartbeat.services)
+        state.retry_budget.take_others(heartbeat.name, heartbeat.services)
         state.unreported.take_others(
             heartbeat.name, heartbeat.recent, heartbeat.counted_for
         )
@@ -198,10 +198,10 @@
             # The gateway that polls the engines is the first to detect that
             # one restarted.
             state.targets.note_incarnation(*split_incarnation(item.target))
-            state.holdings.note(item.target, item.holding, item.age)
+            state.engine_statuses.note(item.target, item.holding, item.age)
         self._take_crashes(heartbeat)
         self._sharing.take(heartbeat)
-        state.room.fill()
+        state.capacity_queue.fill()
         if heartbeat.acting and heartbeat.store_reachable:
             self._store.compare_list(heartbeat.newest_change)
         elif heartbeat.acting:
@@ -210,12 +210,12 @@
     def _take_crashes(self, heartbeat: Heartbeat) -> None:
         """Record what a peer reports about requests that crash targets."""
         state, now = self._state, trio.current_time()
-        state.crashes.take_answered(heartbeat.name, heartbeat.answered)
+        state.crash_history.take_answered(heartbeat.name, heartbeat.answered)
         for crash in heartbeat.crashes:
             if crash.silent:
-                state.crashes.silent.note(crash.run, own=False)
+                state.crash_history.silent.note(crash.run, own=False)
             else:
-                self._crashes.record_reported_crash(crash.run, crash.age)
+                self._crash_watch.record_reported_crash(crash.run, crash.age)
         for reported in heartbeat.quarantines:
             quarantine = Quarantine(
                 reported.fingerprint,
@@ -238,16 +238,16 @@
         return choose_owner(fingerprint, [name, *names]) == name
 
     def _remove_peers(self, names: list[str]) -> None:
-        self._state.crashes.forget_peers(names)
+        self._state.crash_history.forget_peers(names)
         self._state.loads.forget(names)
-        self._state.budget.forget(names)
+        self._state.retry_budget.forget(names)
         self._state.unreported.forget(names)
         self._sharing.remove_peers(names)
 
     def announce_update(self) -> None:
         """Send a heartbeat at once and retry the requests in the queue."""
         self.heartbeats.send_soon()
-        self._state.room.fill()
+        self._state.capacity_queue.fill()
 
     def is_fallback_leader(self) -> bool:
         """Return whether this gateway leads placement in a store outage."""
@@ -306,8 +306,8 @@
                 key=lambda peer: peer.configuration_version,
                 default=None,
             )
-            away = self.measure_store_outage() > STORE_OUTAGE_SECONDS
-            better = [peer for peer in peers if peer.store_reachable]
+            in_outage = self.measure_store_outage() > STORE_OUTAGE_SECONDS
+            reaching_store = [peer for peer in peers if peer.store_reachable]
             now = trio.current_time()
             if newest and newest.configuration_version > own:
                 self._behind_since = self._behind_since or now
@@ -315,8 +315,10 @@
                     await self._fetch_snapshot(newest)
                 continue
             self._behind_since = None
-            if away and better:
-                await self._fetch_snapshot(self._state.rng.choice(better))
+            if in_outage and reaching_store:
+                await self._fetch_snapshot(
+                    self._state.rng.choice(reaching_store)
+                )
                 await trio.sleep(_CATCH_UP_DELAY)
 
     async def _fetch_snapshot(self, peer: Heartbeat) -> None:
--- a/magnoliacove/gateway/process.py
+++ b/magnoliacove/gateway/process.py
@@ -49,10 +49,11 @@
 # Seconds after an outage of the store within which an entry that expired
 # during the outage is written again.  A target without an entry after that is
 # removed.
-_LAPSE_GRACE = 2.0
-# An entry may also be missing because its target is leaving, which must get no
-# request after the drain time.  Seconds of the drain time that pass until the
-# removal is known here and a request that is being sent has arrived.
+_EXPIRY_GRACE = 2.0
+# Seconds of the drain time that pass until the removal of an entry is known
+# here and a request that is being sent has arrived.  An entry may also be
+# missing because its target is leaving.  Such a target must get no request
+# after the drain time, so the grace time above ends this much before it.
 _REMOVAL_DELAY = 0.5
 # Seconds after this process begins to leave for which callers still connect:
 # the balancer probes each second and removes a gateway after two failures.
@@ -92,9 +93,9 @@
         self.recorder = recorder
         rng = random.Random()
         bounds = settings.bounds
-        grace = min(_LAPSE_GRACE, bounds.drain - _REMOVAL_DELAY)
+        grace = min(_EXPIRY_GRACE, bounds.drain - _REMOVAL_DELAY)
         targets = TargetList(recorder, grace=max(0.0, grace))
-        health, holdings = Health(recorder), EngineStatuses()
+        health, engine_statuses = Health(recorder), EngineStatuses()
         loads, unreported = limits.LoadBook(), limits.UnreportedRequests()
         backpressure = BackpressureBook(recorder)
         grants = GrantBook(settings.name)
@@ -107,26 +108,26 @@
             meters=Meters(self._read_gauges, self._is_ready),
             targets=targets,
             health=health,
-            holdings=holdings,
+            engine_statuses=engine_statuses,
             loads=loads,
             unreported=unreported,
-            budget=limits.SharedRetryBudget(
+            retry_budget=limits.SharedRetryBudget(
                 bounds.retry_ratio, bounds.retry_slack, bounds.retry_window
             ),
-            room=limits.CapacityQueue(),
+            capacity_queue=limits.CapacityQueue(),
             pool=pool,
             candidates=Candidates(
                 settings.data_centre,
                 targets,
                 health,
-                holdings,
+                engine_statuses,
                 loads,
                 unreported,
                 permits,
                 rng,
             ),
             rng=rng,
-            crashes=CrashHistory(),
+            crash_history=CrashHistory(),
             backpressure=backpressure,
             grants=grants,
             permits=permits,
@@ -138,7 +139,7 @@
         self._quarantines = QuarantineRecords(
             api, self.state.quarantine, recorder
         )
-        self._crashes = CrashWatch(
+        self._crash_watch = CrashWatch(
             self.state,
             self._calls,
             lambda: self._peers.heartbeats.send_soon(),
@@ -157,12 +158,12 @@
             settings,
             self._incarnation,
             lambda: self._leadership.acting,
-            self._crashes,
+            self._crash_watch,
         )
         self._stalls = StallWatch(
             self.state, self._calls, self._peers.heartbeats.send_soon
         )
-        self._relay = Relay(self.state, self._stalls, self._crashes)
+        self._relay = Relay(self.state, self._stalls, self._crash_watch)
         owner = f"{settings.name}/{self._incarnation}"
         lease = Lease(
             api,
@@ -187,7 +188,7 @@
             controller.ControllerInputs(
                 targets=targets,
                 health=health,
-                holdings=holdings,
+                holdings=engine_statuses,
                 loads=loads,
                 permits=permits,
                 calls=self._calls,
@@ -202,7 +203,7 @@
         )
         self._connections: set[CallerConnection] = set()
         self._accepting = trio.CancelScope()
-        targets.listen(self.state.room.fill)
+        targets.listen(self.state.capacity_queue.fill)
 
     async def run(self) -> None:
         """Serve until cancelled."""
@@ -215,9 +216,9 @@
                 "snapshots": self._peers.serve,
                 "placement": self._placement.run,
                 "stalls": self._stalls.run,
-                "crashes": self._crashes.run,
+                "crashes": self._crash_watch.run,
                 "quarantines": self._quarantines.run,
-                "room": self.state.room.run,
+                "room": self.state.capacity_queue.run,
                 "tidy": self._tidy,
                 "catch-up": self._peers.catch_up,
                 "readiness": self._serve_readiness,
@@ -244,8 +245,8 @@
         await self._leadership.release()
         limit = began + self._settings.bounds.grace - _STOP_RESERVE
         while trio.current_time() < limit:
-            noticed = trio.current_time() - began >= _BALANCER_DELAY
-            if noticed:
+            balancer_done = trio.current_time() - began >= _BALANCER_DELAY
+            if balancer_done:
                 # A balancer without another gateway in this data centre
                 # continues to send callers here.  A caller that is refused
                 # tries elsewhere, while one that is accepted now would be cut
@@ -253,7 +254,11 @@
                 self._accepting.cancel()
                 for connection in tuple(self._connections):
                     connection.close_if_idle()
-            if noticed and not state.open_requests and not self._connections:
+            if (
+                balancer_done
+                and not state.open_requests
+                and not self._connections
+            ):
                 break
             await trio.sleep(0.05)
         self.recorder.record(
@@ -358,12 +363,12 @@
             state.targets.expire()
             listed = {target.name for target in state.targets.list_all()}
             state.health.forget(listed)
-            state.holdings.forget(listed)
+            state.engine_statuses.forget(listed)
             state.candidates.forget(listed)
             state.backpressure.forget(listed)
             state.permits.forget(listed)
             self._stalls.discard_unlisted(listed)
-            self._crashes.forget()
+            self._crash_watch.discard_old()
             await state.pool.close_expired(listed)
 
     def _read_gauges(self) -> dict[str, float]:
--- a/magnoliacove/gateway/quarantine_records.py
+++ b/magnoliacove/gateway/quarantine_records.py
@@ -3,8 +3,8 @@
 Gateways share quarantines in heartbeats, but if all are killed at once, those
 that start have none.  Each quarantine is one object.  The store is read at the
 start and when a target ended while it ran a request of this gateway.  A
-gateway that reaches no peer therefore reads a quarantine after the first
-target that it loses to the request.
+gateway that reaches no peer therefore reads a quarantine after the request
+crashed the first target at this gateway.
 """
 
 from collections import OrderedDict
@@ -39,6 +39,7 @@
 _MAX_PENDING = 64
 # Maximum number of obsolete objects that are deleted after one read.
 _MAX_DELETIONS = 8
+# Milliseconds per second.
 _MS = 1000
 _FINGERPRINT = re.compile(r"[0-9a-f]{16}")
 # Maximum count; counts in heartbeats have 32 bits.
--- a/magnoliacove/gateway/relay.py
+++ b/magnoliacove/gateway/relay.py
@@ -49,11 +49,11 @@
     """Answers the requests of callers."""
 
     def __init__(
-        self, state: GatewayState, stalls: StallWatch, crashes: CrashWatch
+        self, state: GatewayState, stalls: StallWatch, crash_watch: CrashWatch
     ) -> None:
         self._state = state
         self._stalls = stalls
-        self._crashes = crashes
+        self._crash_watch = crash_watch
 
     async def serve(self, exchange: Exchange) -> None:
         """Answer one request."""
@@ -164,7 +164,7 @@
 
     async def _run(self, exchange: Exchange, routed: RoutedRequest) -> None:
         state = self._state
-        state.budget.note_request(routed.service.name)
+        state.retry_budget.note_request(routed.service.name)
         state.unreported.note_request(routed.service.name)
         state.recorder.record(
             "request-arrived",
@@ -179,18 +179,18 @@
             resumes=routed.caller_headers.last_event,
         )
         wait = state.quarantine.admit(routed.fingerprint)
-        if not wait and state.crashes.is_deferred(routed.fingerprint):
+        if not wait and state.crash_history.is_deferred(routed.fingerprint):
             wait = _SUSPECTED_RETRY
         if wait > 0.0:
             raise make_quarantined(wait)
         if routed.service.model is not None and routed.route.streaming:
             stream = StreamCall(
-                state, self._stalls, self._crashes, exchange, routed
+                state, self._stalls, self._crash_watch, exchange, routed
             )
             await stream.run()
         else:
-            await PlainCall(state, self._crashes, exchange, routed).run()
-        self._crashes.note_answered(routed.fingerprint)
+            await PlainCall(state, self._crash_watch, exchange, routed).run()
+        self._crash_watch.note_answered(routed.fingerprint)
 
     async def _answer_fault(
         self,
--- a/magnoliacove/gateway/stalls.py
+++ b/magnoliacove/gateway/stalls.py
@@ -35,8 +35,8 @@
 # is one, whatever the report contains.  Callers disconnect after 2 s, and
 # reading the prompt again takes a part of that.
 MOVE_TIMEOUT = 1.4
-# Minimum seconds between two checks of the same engine.  The stalled streams
-# that a first engine reports are 0.2 s old.
+# Minimum seconds between two checks of the same engine.  The information on
+# stalled streams in the report of a first engine is 0.2 s old.
 _RECHECK_INTERVAL = 0.25
 # Seconds after a restart of an engine in which requests that are reported as
 # stalled there may wait for the process before the restart.  Engines keep
@@ -64,18 +64,18 @@
 class StallWatch:
     """Monitors all streams of one gateway.
 
-    :param on_correction: called when state that the peers share was wrong.
+    :param announce: called when state that the peers share was corrected.
     """
 
     def __init__(
         self,
         state: GatewayState,
         calls: EngineCalls,
-        on_correction: Callable[[], None] = lambda: None,
+        announce: Callable[[], None] = lambda: None,
     ) -> None:
         self.streams: set[WatchedStream] = set()
         self._state = state
-        self._checks = EngineChecks(state, calls, on_correction)
+        self._checks = EngineChecks(state, calls, announce)
         self._rerouter = Rerouter(state, calls)
         self._checked_at: dict[str, float] = {}
         self._nursery: trio.Nursery | None = None
@@ -115,7 +115,7 @@
             for suspicion in state.health.list_suspicions()
             if not suspicion.leaving
         }
-        moving = state.holdings.list_moving()
+        moving = state.engine_statuses.list_moving()
         # An engine that restarted has lost its state of these streams.
         failed.update(state.targets.list_former_incarnations())
         if not failed and not moving:
@@ -184,7 +184,7 @@
     def check_refusal(
         self, target: ListedTarget, status: int, health_path: str
     ) -> None:
-        """Start to find out why an engine refused a request."""
+        """Start a check of why an engine refused a request."""
         if self._nursery is None:
             return
         self._nursery.start_soon(
@@ -203,7 +203,7 @@
 
     def discard_unlisted(self, listed: set[str]) -> None:
         """Discard the state of targets that are no longer listed."""
-        self._checks.forget(listed)
+        self._checks.discard_unlisted(listed)
         for name in set(self._checked_at) - listed:
             del self._checked_at[name]
 
@@ -215,7 +215,7 @@
                 # engine that runs there now is healthy; a suspicion would
                 # leave it without layers and work for seconds.
                 continue
-            if self._state.holdings.read(target).moving:
+            if self._state.engine_statuses.read(target).moving:
                 # The engine was ordered to load other layers.  It is healthy,
                 # and the streams through it are rerouted anyway.
                 continue
--- a/magnoliacove/gateway/state.py
+++ b/magnoliacove/gateway/state.py
@@ -33,7 +33,11 @@
 class GatewayState:
     """The shared state and services of one gateway.
 
+    :param unreported: estimates the requests of other gateways that no
+        heartbeat reports yet.
     :param routes: the configuration in force, None before the first.
+    :param routes_applied_at: when it was applied, by trio's clock.
+    :param leaving: whether this process is about to stop.
     :param seen_traffic: whether a caller's request has arrived yet.
     :param open_requests: number of requests in progress.
     """
@@ -44,15 +48,15 @@
     meters: Meters
     targets: TargetList
     health: Health
-    holdings: EngineStatuses
+    engine_statuses: EngineStatuses
     loads: LoadBook
     unreported: UnreportedRequests
-    budget: SharedRetryBudget
-    room: CapacityQueue
+    retry_budget: SharedRetryBudget
+    capacity_queue: CapacityQueue
     pool: ChannelPool
     candidates: Candidates
     rng: random.Random
-    crashes: CrashHistory
+    crash_history: CrashHistory
     backpressure: BackpressureBook
     grants: GrantBook
     permits: Permits
@@ -66,8 +70,8 @@
     _route_listeners: list[Callable[[], None]] = field(default_factory=list)
     _routes_applied: trio.Event = field(default_factory=trio.Event)
 
-    def get_gap_clock(self, service: str) -> GapEstimator:
-        """Return the clock of the gaps in a model's layers."""
+    def get_gap_estimator(self, service: str) -> GapEstimator:
+        """Return the estimator of the gaps in a model's layers."""
         return self._gaps.setdefault(service, GapEstimator())
 
     def may_repeat(self, fingerprint: str) -> bool:
@@ -78,7 +82,7 @@
         """
         if self.quarantine.find(fingerprint) is not None:
             return False
-        return not self.crashes.is_suspected(fingerprint)
+        return not self.crash_history.is_suspected(fingerprint)
 
     def apply_routes(self, table: RouteTable, source: str) -> bool:
         """Apply a configuration if it is newer than the one in force.
--- a/magnoliacove/gateway/store.py
+++ b/magnoliacove/gateway/store.py
@@ -53,7 +53,7 @@
 _MAX_LIST_LAG = 0.5
 # Seconds after an outage in which a removed entry may be one that expired
 # during the outage and will be written again.
-_LAPSE_WINDOW = 2.5
+_EXPIRY_WINDOW = 2.5
 # Maximum number of unreadable entries whose error is remembered, so that each
 # is logged once.
 _MAX_REMEMBERED_ERRORS = 256
@@ -330,7 +330,7 @@
             self._state.targets.remove(
                 name,
                 event.revision,
-                may_return=not self.reachable or since < _LAPSE_WINDOW,
+                may_return=not self.reachable or since < _EXPIRY_WINDOW,
             )
             return
         target = self._read_target(event.record)
--- a/magnoliacove/gateway/stream_log.py
+++ b/magnoliacove/gateway/stream_log.py
@@ -39,7 +39,9 @@
             number=number,
         )
 
-    def record_lost_path(self, target: str, failure: BrokenRunError) -> None:
+    def record_path_failure(
+        self, target: str, failure: BrokenRunError
+    ) -> None:
         """Record that the path failed.
 
         :param target: the first engine of the path, or "" when it is no
--- a/magnoliacove/gateway/streams.py
+++ b/magnoliacove/gateway/streams.py
@@ -49,8 +49,8 @@
 _FIRST_EVENT_MARGIN = 0.5
 # Seconds after which a refused caller may retry.
 _RETRY_AFTER = 0.5
-# Seconds between tries of one request.  The initial pause is about as long as
-# a usual first event takes; the maximum fits into a caller's timeout.
+# Seconds between attempts at one request.  The initial pause is about as long
+# as a usual first event takes; the maximum fits into a caller's timeout.
 _INITIAL_PAUSE = 0.05
 _MAX_PAUSE = 0.4
 
@@ -62,7 +62,7 @@
         self,
         state: GatewayState,
         stalls: StallWatch,
-        crashes: CrashWatch,
+        crash_watch: CrashWatch,
         exchange: Exchange,
         routed: RoutedRequest,
     ) -> None:
@@ -71,7 +71,7 @@
         self.fingerprint = routed.fingerprint
         self._state = state
         self._stalls = stalls
-        self._crashes = crashes
+        self._crash_watch = crash_watch
         self._exchange = exchange
         self._routed = routed
         self._path_reservation = PathReservation(state, routed)
@@ -168,7 +168,7 @@
     def note_unusable_engines(self, targets: Iterable[str]) -> None:
         """Record that engines of the current path are unusable."""
         age = self._delivery.read_run_age()
-        self._crashes.check_failed_engines(targets, self._routed, age)
+        self._crash_watch.check_failed_engines(targets, self._routed, age)
 
     def _cancel_if_moved(self) -> None:
         """Leave the path if the move was deferred until a write ended."""
@@ -188,11 +188,11 @@
                 return
             except BrokenRunError as exc:
                 failure = exc
-                self._record_lost_path(first, failure)
+                self._record_path_failure(first, failure)
             finally:
                 self._path_reservation.release_path()
             name = first.name if first else ""
-            await self._crashes.wait_until_checked(name, self.fingerprint)
+            await self._crash_watch.wait_until_checked(name, self.fingerprint)
             if not self._may_retry(failure):
                 await self._give_up(failure)
                 return
@@ -215,7 +215,7 @@
         if remaining <= 0:
             raise make_too_late(self._runs > 0, _RETRY_AFTER)
         try:
-            await self._state.room.wait_path(
+            await self._state.capacity_queue.wait_path(
                 self._path_reservation.reserve,
                 # A stream that has begun precedes all others: its caller
                 # disconnects soon, and the events sent so far would be lost.
@@ -251,13 +251,13 @@
         if wait > 0.0:
             raise make_quarantined(wait)
 
-    def _record_lost_path(
+    def _record_path_failure(
         self, first: ListedTarget | None, failure: BrokenRunError
     ) -> None:
-        self._log.record_lost_path(first.name if first else "", failure)
+        self._log.record_path_failure(first.name if first else "", failure)
         if first is not None and failure.ran and failure.answer is None:
             age = self._delivery.read_run_age()
-            self._crashes.check_broken_run(first, self._routed, age)
+            self._crash_watch.check_broken_run(first, self._routed, age)
 
     def _may_retry(self, failure: BrokenRunError) -> bool:
         """Return whether another path may be tried."""
@@ -272,10 +272,10 @@
             self._refusals += 1
             if self._refusals > _MAX_REFUSALS:
                 return False
-        return state.budget.try_spend(self._routed.service.name)
+        return state.retry_budget.try_spend(self._routed.service.name)
 
     async def _pause(self) -> None:
-        """Wait before the third try, and longer before each further one.
+        """Wait before the third attempt, and longer before each further one.
 
         Without the pause, an engine that aborts each run at once would be
         tried hundreds of times a second and use up the retry budget of all
@@ -332,7 +332,7 @@
                     ran = sent or exc.outcome is not errors.Outcome.NOT_RUN
                     if not ran:
                         self._state.health.suspect(target.name, str(exc))
-                    self._note_trouble(target)
+                    self._avoid_engine(target)
                     raise BrokenRunError(str(exc), ran) from exc
         finally:
             self._scope = None
@@ -378,26 +378,26 @@
         """
         body = await channel.read_whole_body()
         if decoded.not_run:
-            self._note_refusal(answer.status, decoded.faulty)
+            self._handle_refusal(answer.status, decoded.faulty)
             raise BrokenRunError(
                 f"refused with {answer.status} by "
                 f"{decoded.faulty or 'the first engine'}",
                 False,
             )
         if self.first_target is not None:
-            self._note_trouble(self.first_target)
+            self._avoid_engine(self.first_target)
         passed = answer if decoded.stamped and answer.status >= 400 else None
         raise BrokenRunError(
             f"the engine answered {answer.status}", True, passed, body
         )
 
-    def _note_trouble(self, target: ListedTarget) -> None:
+    def _avoid_engine(self, target: ListedTarget) -> None:
         """Avoid an engine for this stream, and for a while for new ones."""
         self._path_reservation.avoid(target.name)
         self._state.candidates.pause_engine(target.name)
 
-    def _note_refusal(self, status: int, faulty: str) -> None:
-        """Avoid the engine that a refusal names.
+    def _handle_refusal(self, status: int, faulty: str) -> None:
+        """Avoid and check the engine that a refusal names.
 
         :param faulty: the engine's address; "" for the first engine of the
             path.
@@ -407,7 +407,7 @@
         if not faulty and self.first_target is not None:
             refusing = [self.first_target]
         for target in refusing:
-            self._note_trouble(target)
+            self._avoid_engine(target)
             state.recorder.record(
                 "engine-refused",
                 request=self.request,
--- a/measure/peering.py
+++ b/measure/peering.py
@@ -203,7 +203,7 @@
 
 def _fill_with_ends(gateway: Gateway) -> None:
     """Let a gateway know as much of requests that end targets as it tells."""
-    crashes = gateway.state.crashes
+    crashes = gateway.state.crash_history
     for number in range(_ENDS):
         fingerprint = f"{number:016x}"
         target = f"i-{number:010x}"
--- a/tests/gateway/stubs.py
+++ b/tests/gateway/stubs.py
@@ -183,13 +183,13 @@
         self.closing = False
         self.recorder = timeline.Recorder("gateway")
         targets = TargetList(self.recorder, grace=1.8)
-        health, holdings = Health(self.recorder), EngineStatuses()
+        health, engine_statuses = Health(self.recorder), EngineStatuses()
         backpressure = BackpressureBook(self.recorder)
         grants = GrantBook("gateway")
         permits = Permits(backpressure, grants)
         on_answer = make_notice_handler(backpressure, health)
         loads, pool = LoadBook(), ChannelPool(nursery.start_soon, on_answer)
-        unheard, rng = UnreportedRequests(), random.Random(1)
+        unreported, rng = UnreportedRequests(), random.Random(1)
         self.state = GatewayState(
             "gateway",
             "a",
@@ -197,14 +197,21 @@
             Meters(dict, lambda: True),
             targets,
             health,
-            holdings,
+            engine_statuses,
             loads,
-            unheard,
+            unreported,
             SharedRetryBudget(0.2, 100, 10.0),
             CapacityQueue(),
             pool,
             Candidates(
-                "a", targets, health, holdings, loads, unheard, permits, rng
+                "a",
+                targets,
+                health,
+                engine_statuses,
+                loads,
+                unreported,
+                permits,
+                rng,
             ),
             rng,
             CrashHistory(),
@@ -216,12 +223,12 @@
         self.state.routes = make_table()
         self.calls = EngineCalls(pool)
         self.stalls = StallWatch(self.state, self.calls)
-        self.crashes = CrashWatch(self.state, self.calls)
-        self.relay = Relay(self.state, self.stalls, self.crashes)
-        targets.listen(self.state.room.fill)
-        nursery.start_soon(self.state.room.run)
+        self.crash_watch = CrashWatch(self.state, self.calls)
+        self.relay = Relay(self.state, self.stalls, self.crash_watch)
+        targets.listen(self.state.capacity_queue.fill)
+        nursery.start_soon(self.state.capacity_queue.run)
         nursery.start_soon(self.stalls.run)
-        nursery.start_soon(self.crashes.run)
+        nursery.start_soon(self.crash_watch.run)
 
     async def add(self, name, script, *, layers=None, service="", **changes):
         """Start a stub target and list it."""
--- a/tests/gateway/test_crashes.py
+++ b/tests/gateway/test_crashes.py
@@ -12,15 +12,15 @@
 _WHOLE = stubs.STREAM + stubs.chunk(stubs.make_events(1, 3)) + stubs.END
 
 
-class _Endings:
-    """Targets of one stage that end when they run certain requests.
+class _CrashingTargets:
+    """Targets of one harness that end when they run certain requests.
 
     A target that ended accepts no connections.
     """
 
     def __init__(self, harness):
         self.ended = []
-        self._stage = harness
+        self._harness = harness
 
     async def add(self, name, **changes):
         """Start a target that ends when it runs a request for /bad."""
@@ -43,13 +43,13 @@
                 await stub.listen(task_status)
 
         stub.script = script
-        await self._stage.nursery.start(live)
-        added = await self._stage.add(name, stubs.stay_silent, **changes)
-        target = self._stage.state.targets.find(name)
+        await self._harness.nursery.start(live)
+        added = await self._harness.add(name, stubs.stay_silent, **changes)
+        target = self._harness.state.targets.find(name)
         listed = dataclasses.replace(
             target, address=stub.address, revision=target.revision + 1
         )
-        self._stage.state.targets.apply(listed)
+        self._harness.state.targets.apply(listed)
         return added
 
 
@@ -73,20 +73,20 @@
     of the same caller are served.
     """
     async with stubs.open_harness() as harness:
-        endings = _Endings(harness)
+        crashing = _CrashingTargets(harness)
         for number in range(5):
-            await endings.add(f"i-{number}", layers=(0, 80))
+            await crashing.add(f"i-{number}", layers=(0, 80))
         for number in range(2):
             answer = await _ask(harness, "/stream/bad", number)
             assert answer.split(b" ")[1] == b"502"
             await _wait_settled()
-            for name in endings.ended:
+            for name in crashing.ended:
                 harness.state.targets.remove(name, 2)
-        assert len(endings.ended) == 3
+        assert len(crashing.ended) == 3
         answer = await _ask(harness, "/stream/bad", 9)
         assert answer.split(b" ")[1] == b"503"
         assert b"retry-after: 5" in answer.lower()
-        assert len(endings.ended) == 3
+        assert len(crashing.ended) == 3
         assert (await _ask(harness, "/stream/good", 10)).endswith(stubs.END)
         kinds = harness.list_kinds()
         assert kinds.count("target-ended") == 3
@@ -111,10 +111,12 @@
         for number in range(3):
             name = f"i-1{number}"
             second = await harness.add(name, wait, layers=(40, 80))
-            found = harness.state.targets.find(name)
-            nobody = dataclasses.replace(second.address, port=1)
-            gone = dataclasses.replace(found, address=nobody, revision=2)
-            harness.state.targets.apply(gone)
+            target = harness.state.targets.find(name)
+            closed_port = dataclasses.replace(second.address, port=1)
+            ended = dataclasses.replace(
+                target, address=closed_port, revision=2
+            )
+            harness.state.targets.apply(ended)
             await _ask(harness, "/stream/bad", number)
             harness.state.targets.remove(name, 3)
         await _wait_settled()
@@ -141,19 +143,19 @@
 
     async with stubs.open_harness() as harness:
         stub = await harness.add("i-1", wait, layers=(40, 80))
-        found = harness.state.targets.find("i-1")
-        nobody = dataclasses.replace(stub.address, port=1)
+        target = harness.state.targets.find("i-1")
+        closed_port = dataclasses.replace(stub.address, port=1)
         harness.state.targets.apply(
-            dataclasses.replace(found, address=nobody, revision=2)
+            dataclasses.replace(target, address=closed_port, revision=2)
         )
         for number in range(3):
             routed = types.SimpleNamespace(
                 fingerprint=f"{number:016x}",
                 caller_headers=types.SimpleNamespace(request=f"r{number}"),
             )
-            harness.crashes.check_failed_engines(["i-1"], routed, 0.1)
+            harness.crash_watch.check_failed_engines(["i-1"], routed, 0.1)
         await trio.sleep(0.2)
-        crashes = harness.state.crashes
+        crashes = harness.state.crash_history
         assert [crashes.has_recent_crash(f"{n:016x}") for n in range(3)] == [
             True
         ] * 3
@@ -164,15 +166,15 @@
     so only their refused connections show that they ended.
     """
     async with stubs.open_harness() as harness:
-        endings = _Endings(harness)
+        crashing = _CrashingTargets(harness)
         for number in range(6):
-            await endings.add(f"i-{number}")
+            await crashing.add(f"i-{number}")
         for number in range(3):
             await _ask(harness, "/get/bad", number)
             await _wait_settled()
         answer = await _ask(harness, "/get/bad", 9)
         assert answer.split(b" ")[1] == b"503"
-        assert len(endings.ended) <= 4
+        assert len(crashing.ended) <= 4
         assert (await _ask(harness, "/get/good", 10)).endswith(b"ok")
 
 
@@ -196,40 +198,42 @@
     connections past the first, closely spaced probes.  Then it restarts and
     reports a new incarnation, so the crash is attributed three seconds late.
     """
-    born = [1]
+    incarnation = [1]
 
     async def respond(received, stream):
-        if received.target == "/v1/report" and born[0] > 1:
-            report = b'{"born": %d}' % born[0]
+        if received.target == "/v1/report" and incarnation[0] > 1:
+            report = b'{"born": %d}' % incarnation[0]
             await stream.send_all(stubs.make_answer(report))
             return
         await stubs.reset(received, stream)
 
     async with stubs.open_harness() as harness:
         await harness.add("i-1", respond, layers=(0, 80))
-        found = harness.state.targets.find("i-1")
+        target = harness.state.targets.find("i-1")
         harness.state.targets.remove("i-1", 2)
         harness.state.targets.apply(
-            dataclasses.replace(found, name="i-1@1", incarnation=1, revision=3)
+            dataclasses.replace(
+                target, name="i-1@1", incarnation=1, revision=3
+            )
         )
         await _ask(harness, "/stream/bad", 1)
         await trio.sleep(2.4)
         assert "target-ended" not in harness.list_kinds()
-        born[0] = 2
+        incarnation[0] = 2
         await trio.sleep(0.8)
         assert "target-ended" in harness.list_kinds()
 
 
 async def test_the_end_of_a_draining_target_does_not_count_as_a_crash():
     async with stubs.open_harness() as harness:
-        endings = _Endings(harness)
+        crashing = _CrashingTargets(harness)
         for number in range(4):
-            await endings.add(f"i-{number}", layers=(0, 80))
+            await crashing.add(f"i-{number}", layers=(0, 80))
         for number in range(4):
             harness.state.health.suspect(f"i-{number}", "it leaves")
         target = harness.state.targets.find("i-0")
         leaving = dataclasses.replace(target, draining=True)
-        assert await harness.crashes._has_ended(leaving) is False
+        assert await harness.crash_watch._has_ended(leaving) is False
 
 
 async def test_an_expired_quarantine_does_not_begin_again_by_itself():
@@ -239,13 +243,13 @@
     async with stubs.open_harness() as harness:
         for number in range(3):
             run = CrashedRun("00000000000000ab", number, f"i-{number}", 0.1)
-            harness.crashes.record_reported_crash(run, 0.0)
+            harness.crash_watch.record_reported_crash(run, 0.0)
         await trio.sleep(1.6)
         book = harness.state.quarantine
         assert book.find("00000000000000ab") is not None
         book._quarantines.clear()
         other = CrashedRun("00000000000000ac", 9, "i-9", 0.1)
-        harness.crashes.record_reported_crash(other, 0.0)
+        harness.crash_watch.record_reported_crash(other, 0.0)
         await trio.sleep(1.6)
         assert book.find("00000000000000ab") is None
 
@@ -263,12 +267,12 @@
             for event in harness.recorder.list_events()
             if event.kind == "request-arrived"
         ]
-        harness.state.crashes._answered.clear()
+        harness.state.crash_history._answered.clear()
         for number in range(3):
             run = CrashedRun(fingerprints[0], number, f"i-{number}", 0.1)
-            harness.crashes.record_reported_crash(run, 0.0)
+            harness.crash_watch.record_reported_crash(run, 0.0)
         await trio.sleep(1.6)
         answer = await _ask(harness, "/stream/bad", 2)
         assert answer.split(b" ")[1] == b"503"
-        harness.crashes.note_answered(fingerprints[0])
+        harness.crash_watch.note_answered(fingerprints[0])
         assert (await _ask(harness, "/stream/bad", 3)).endswith(stubs.END)
--- a/tests/gateway/test_engine_checks.py
+++ b/tests/gateway/test_engine_checks.py
@@ -36,7 +36,7 @@
 
 async def test_one_lost_packet_makes_no_engine_look_failed():
     """The first request for a report is lost and would be retransmitted only
-    after the time-out.  The second one, on a new connection, is answered, so
+    after the timeout.  The second one, on a new connection, is answered, so
     streams are not rerouted around a healthy engine.
     """
     asked = []
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -1,4 +1,4 @@
-"""Engines and plain targets that name a limit for all gateways together."""
+"""Engines and plain targets that report a limit for all gateways together."""
 
 import json
 
@@ -129,7 +129,7 @@
         async def fill():
             while True:
                 await trio.sleep(0.05)
-                harness.state.room.fill()
+                harness.state.capacity_queue.fill()
 
         harness.nursery.start_soon(fill)
         async with trio.open_nursery() as nursery:
@@ -243,7 +243,7 @@
     and a suspicion expires.  It must not get requests again after that.
     """
     async with stubs.open_harness() as harness:
-        left = await harness.add(
+        leaving = await harness.add(
             "i-1", stubs.answer_with(_report_leaving(stubs.make_answer(b"ok")))
         )
         await harness.ask("/get/1")
@@ -252,7 +252,7 @@
         assert harness.state.health.is_usable("i-1")
         answer = await harness.ask("/get/1")
         assert answer.split(b" ")[1] == b"503"
-        assert len(left.requests) == 1
+        assert len(leaving.requests) == 1
 
 
 async def test_a_leaving_engine_runs_nothing_that_other_engines_forward():
--- a/tests/gateway/test_notices.py
+++ b/tests/gateway/test_notices.py
@@ -61,7 +61,7 @@
 
 async def test_only_an_answer_of_the_target_itself_ends_its_limit():
     """The answer to a health check may lack the limit that answers to
-    requests name, and a 421 may come from another target that has the
+    requests report, and a 421 may come from another target that has the
     address by now.  Neither may end the limit.
     """
     not_here = (
--- a/tests/gateway/test_path_reservations.py
+++ b/tests/gateway/test_path_reservations.py
@@ -37,14 +37,14 @@
         for name in ("i-1", "i-2"):
             await harness.add(name, stubs.stay_silent, layers=(0, 80))
         reservation = _make_reservation(harness.state)
-        drawn = []
+        sampled = []
         original = harness.state.candidates.sample_ahead
         harness.state.candidates.sample_ahead = lambda service: (
-            drawn.append(service) or original(service)
+            sampled.append(service) or original(service)
         )
         assert reservation.reserve() is not None
-        assert drawn == ["llm"]
+        assert sampled == ["llm"]
         assert reservation.has_other_path()
-        assert drawn == ["llm"]
+        assert sampled == ["llm"]
         reservation.release_path()
         assert not harness.state.loads.list_own()
--- a/tests/gateway/test_peering.py
+++ b/tests/gateway/test_peering.py
@@ -47,7 +47,7 @@
         settings.read_settings(path),
         1,
         lambda: False,
-        harness.crashes,
+        harness.crash_watch,
     )
 
 
@@ -159,7 +159,7 @@
             first = rng.randrange(70)
             layers = LayerRange(first, first + 10)
             status = EngineStatus(layers, used=rng.uniform(0.0, 1e6))
-            harness.state.holdings.note(name, status, rng.random())
+            harness.state.engine_statuses.note(name, status, rng.random())
         reported = set()
         for sequence in range(40):
             heartbeat = exchange._make_heartbeat(sequence, ())
--- a/tests/gateway/test_stale_engine_status.py
+++ b/tests/gateway/test_stale_engine_status.py
@@ -70,9 +70,9 @@
         assert all(answer.endswith(stubs.END) for answer in answers)
         assert _count(wrong, "/stream") == 1
         assert _count(wrong, "/v1/report") == 1
-        (name, _, holding), *_ = harness.state.holdings.list_corrected()
+        (name, _, status), *_ = harness.state.engine_statuses.list_corrected()
         assert name == "i-1"
-        assert holding.layers in (None, LayerRange(40, 80))
+        assert status.layers in (None, LayerRange(40, 80))
 
 
 async def test_a_refusal_shows_that_an_engine_restarted():
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -92,8 +92,8 @@
     answer: no event is missing and none is sent twice.
     """
     async with stubs.open_harness() as harness:
-        dying = _stream(cut_after=3, cut_inside=cut_inside)
-        await harness.add("i-1", dying, layers=(0, 80))
+        failing = _stream(cut_after=3, cut_inside=cut_inside)
+        await harness.add("i-1", failing, layers=(0, 80))
         async with _asking(harness) as answers:
             await trio.sleep(0.01)
             other = await harness.add("i-2", _stream(), layers=(0, 80))
@@ -116,8 +116,8 @@
         await trio.sleep(0.3)
 
     async with stubs.open_harness() as harness:
-        dying = _stream(cut_after=3, then=wait)
-        await harness.add("i-1", dying, layers=(0, 80))
+        failing = _stream(cut_after=3, then=wait)
+        await harness.add("i-1", failing, layers=(0, 80))
         async with _asking(harness) as answers:
             await trio.sleep(0.01)
             await harness.add("i-2", _stream(), layers=(0, 80))
@@ -268,9 +268,9 @@
                 await stream.send_all(stubs.make_answer(b"{}"))
                 changed.set()
             else:
-                await _stream(cut_after=3, then=go_on)(received, stream)
+                await _stream(cut_after=3, then=resume)(received, stream)
 
-        async def go_on(_, stream):
+        async def resume(_, stream):
             await changed.wait()
             events = stubs.make_events(4, 6)
             await stream.send_all(stubs.chunk(events) + stubs.END)
@@ -520,17 +520,19 @@
     a third one and would wait until its caller disconnects.
     """
     async with stubs.open_harness() as harness:
-        dying = await harness.add("i-1", _stream(cut_after=3), layers=(0, 80))
+        failing = await harness.add(
+            "i-1", _stream(cut_after=3), layers=(0, 80)
+        )
         ended = await harness.add("i-2", _stream(), layers=(0, 80))
         target = harness.state.targets.find("i-2")
-        nobody = dataclasses.replace(ended.address, port=1)
+        closed_port = dataclasses.replace(ended.address, port=1)
         harness.state.targets.apply(
-            dataclasses.replace(target, address=nobody, revision=2)
+            dataclasses.replace(target, address=closed_port, revision=2)
         )
         third = await harness.add("i-3", _stream(), layers=(0, 80))
         answer = await _ask(harness)
         assert _is_whole(answer)
-        assert dying.callers_requests
+        assert failing.callers_requests
         assert third.callers_requests
 
 
@@ -567,10 +569,10 @@
         await harness.add(
             "i-3", stubs.stay_silent, layers=(40, 80), accelerator="t4"
         )
-        holding = EngineStatus(LayerRange(*kept), True, moving=True)
+        status = EngineStatus(LayerRange(*kept), True, moving=True)
         harness.nursery.start_soon(_ask, harness)
         await trio.sleep(0.2)
-        harness.state.holdings.note("i-2", holding)
+        harness.state.engine_statuses.note("i-2", status)
         await trio.sleep(0.4)
         assert bool(orders) == rerouted
 
