--- a/magnoliacove/gateway/channels.py
+++ b/magnoliacove/gateway/channels.py
@@ -28,7 +28,7 @@
 _READ_SIZE = 65536
 # Bytes of a request that fit into the socket's buffer, so that it is sent
 # without a second task.
-_SMALL_BODY = 8192
+_SMALL_REQUEST = 8192
 # Number of answers to other requests after which an exchange fails.
 _MAX_STRAY_ANSWERS = 3
 
@@ -117,7 +117,7 @@
             method=method, target=target, headers=list(headers)
         )
         data = self._encode_request(body)
-        if len(data) <= _SMALL_BODY:
+        if len(data) <= _SMALL_REQUEST:
             await self._send_all(data)
             return
         # A target may stop reading a long body and answer early.  Sending
--- a/magnoliacove/gateway/crashes.py
+++ b/magnoliacove/gateway/crashes.py
@@ -326,7 +326,7 @@
             )
             for fingerprint, crashes in causes.items()
         ]
-        why = "another target ended while it ran it"
+        why = "another target ended while it ran the request"
         for active in quarantines:
             last = state.crash_history.read_last_crash(active.fingerprint)
             if state.quarantine.crashed_again(active.fingerprint, last):
@@ -346,10 +346,10 @@
 
         Otherwise the next report of any crash would begin it again.
         """
-        active = {
+        in_quarantine = {
             quarantine.fingerprint
             for quarantine in self._state.quarantine.list_all()
         }
-        for fingerprint in self._quarantined - active:
+        for fingerprint in self._quarantined - in_quarantine:
             self._state.crash_history.clear_crashes(fingerprint)
-        self._quarantined = active
+        self._quarantined = in_quarantine
--- a/magnoliacove/gateway/limit_sharing.py
+++ b/magnoliacove/gateway/limit_sharing.py
@@ -47,7 +47,7 @@
 
     @property
     def grants(self) -> Iterable[Grant]:
-        """The parts of limits that the gateway issues."""
+        """The grants, or parts of limits, that the gateway issues."""
 
 
 class LivePeer(Protocol):
@@ -65,7 +65,8 @@
 class LimitSharing:
     """Shares the limits of targets with the other gateways, for one gateway.
 
-    One gateway, the keeper of a limit, divides it and issues the parts.
+    One gateway, the keeper of a limit, divides it and issues the parts as
+    grants.
 
     :param list_live: returns the live gateways.
     """
@@ -96,7 +97,7 @@
         self._next_check_at = 0.0
 
     def issue_grants(self) -> tuple[Grant, ...]:
-        """Issue and return the parts of the limits that this gateway keeps."""
+        """Issue and return the grants of limits that this gateway keeps."""
         limits = self._book.list_limits()
         self._refresh()
         if not limits:
--- a/magnoliacove/gateway/stalls.py
+++ b/magnoliacove/gateway/stalls.py
@@ -184,7 +184,7 @@
     def check_refusal(
         self, target: ListedTarget, status: int, health_path: str
     ) -> None:
-        """Start a check of why an engine refused a request."""
+        """Start a check of why an engine refused; the request continues."""
         if self._nursery is None:
             return
         self._nursery.start_soon(
--- a/magnoliacove/gateway/store.py
+++ b/magnoliacove/gateway/store.py
@@ -110,6 +110,7 @@
         drain: float = 0.0,
     ) -> None:
         self.reachable = False
+        # Far in the past: the store was never reached, and no outage is known.
         self.unreachable_since = -1e9
         self._outage_at = -1e9
         self.configuration = b""
--- a/tests/gateway/test_crashes.py
+++ b/tests/gateway/test_crashes.py
@@ -113,10 +113,10 @@
             second = await harness.add(name, wait, layers=(40, 80))
             target = harness.state.targets.find(name)
             closed_port = dataclasses.replace(second.address, port=1)
-            ended = dataclasses.replace(
+            unreachable = dataclasses.replace(
                 target, address=closed_port, revision=2
             )
-            harness.state.targets.apply(ended)
+            harness.state.targets.apply(unreachable)
             await _ask(harness, "/stream/bad", number)
             harness.state.targets.remove(name, 3)
         await _wait_settled()
--- a/tests/gateway/test_restored_store.py
+++ b/tests/gateway/test_restored_store.py
@@ -47,8 +47,8 @@
         for number in range(_LOST_WRITES):
             await self.write("other/x", number)
 
-    async def take_snapshot(self):
-        """Take the snapshot that is restored, and write on after it."""
+    async def save_snapshot(self):
+        """Save the snapshot to restore, and increase the revision after it."""
         self._snapshot = self.store.take_snapshot()
         await self.grow_revision()
         await trio.sleep(0.5)
@@ -99,7 +99,7 @@
     had.  Requests that still go there would be cut off when it ends.
     """
     async with _follow(nursery) as (scenario, _):
-        await scenario.take_snapshot()
+        await scenario.save_snapshot()
         await scenario.write_entry("i-1", {**_ENTRY, "slots": 95})
         await trio.sleep(0.5)
         await scenario.restore()
@@ -114,7 +114,7 @@
     again a second later.  In between it must get no requests.
     """
     async with _follow(nursery) as (scenario, _):
-        await scenario.take_snapshot()
+        await scenario.save_snapshot()
         await scenario.write_entry("i-1", _LEAVING)
         await scenario.wait_names(["i-2"], 2.0)
         await scenario.restore()
@@ -132,7 +132,7 @@
     not be used, since the address may belong to another engine.
     """
     async with _follow(nursery) as (scenario, _):
-        await scenario.take_snapshot()
+        await scenario.save_snapshot()
         await scenario.store.delete("servers/i-1")
         await scenario.wait_names(["i-2"], 2.0)
         await scenario.restore()
@@ -150,7 +150,7 @@
     grace time and then removed.
     """
     async with _follow(nursery) as (scenario, _):
-        await scenario.take_snapshot()
+        await scenario.save_snapshot()
         await scenario.write_entry("i-3")
         await scenario.write_entry("i-4")
         await scenario.wait_names(["i-1", "i-2", "i-3", "i-4"], 2.0)
@@ -167,7 +167,7 @@
     again.  The operator writes 12 again and then 15.
     """
     async with _follow(nursery) as (scenario, _):
-        await scenario.take_snapshot()
+        await scenario.save_snapshot()
         newer = {**samples.CONFIGURATION, "version": 12}
         await scenario.write("config/main", newer)
         with trio.fail_after(2.0):
@@ -192,7 +192,7 @@
         book = QuarantineBook(recorder)
         records = QuarantineRecords(api, book, recorder)
         nursery.start_soon(records.run)
-        await scenario.take_snapshot()
+        await scenario.save_snapshot()
         records.save(book.begin(_FINGERPRINT, 3, "a test"))
         await trio.sleep(0.5)
         assert scenario.store.holds(f"quarantines/{_FINGERPRINT}")
@@ -208,7 +208,7 @@
     """The store is restored several times in a row."""
     async with _follow(nursery) as (scenario, _):
         for _ in range(times):
-            await scenario.take_snapshot()
+            await scenario.save_snapshot()
             await scenario.write_entry("i-2", {**_ENTRY, "slots": 90})
             await scenario.restore()
             await scenario.write_entry("i-2", {**_ENTRY, "slots": 90})
