--- a/magnoliacove/gateway/limit_sharing.py
+++ b/magnoliacove/gateway/limit_sharing.py
@@ -47,7 +47,7 @@
 
     @property
     def grants(self) -> Iterable[Grant]:
-        """The parts of limits that the gateway issues."""
+        """The grants, or parts of limits, that the gateway issues."""
 
 
 class LivePeer(Protocol):
@@ -65,7 +65,8 @@
 class LimitSharing:
     """Shares the limits of targets with the other gateways, for one gateway.
 
-    One gateway, the keeper of a limit, divides it and issues the parts.
+    One gateway, the keeper of a limit, divides it and issues the parts as
+    grants.
 
     :param list_live: returns the live gateways.
     """
@@ -76,7 +77,7 @@
         targets: TargetList,
         book: BackpressureBook,
         grants: GrantBook,
-        unheard: UnreportedRequests,
+        unreported: UnreportedRequests,
         list_live: Callable[[], Iterable[LivePeer]],
         is_leaving: Callable[[], bool],
         read_time: Callable[[], float] = trio.current_time,
@@ -85,7 +86,7 @@
         self._targets = targets
         self._book = book
         self._grants = grants
-        self._unheard = unheard
+        self._unreported = unreported
         self._list_live = list_live
         self._is_leaving = is_leaving
         self._read_time = read_time
@@ -96,7 +97,7 @@
         self._next_check_at = 0.0
 
     def issue_grants(self) -> tuple[Grant, ...]:
-        """Issue and return the parts of the limits that this gateway keeps."""
+        """Issue and return the grants of limits that this gateway keeps."""
         limits = self._book.list_limits()
         self._refresh()
         if not limits:
@@ -176,7 +177,7 @@
                 yield peer.heartbeat.name
         if (
             not self._is_leaving()
-            and self._unheard.counted_for >= _MIN_COUNTED_TIME
+            and self._unreported.counted_for >= _MIN_COUNTED_TIME
         ):
             yield self._name
 
@@ -186,7 +187,7 @@
         listed = self._targets.find(target)
         service = listed.service if listed is not None else ""
         return {
-            name: self._unheard.read_pace(
+            name: self._unreported.read_pace(
                 service, "" if name == self._name else name
             )
             for name in gateways
--- a/measure/peering.py
+++ b/measure/peering.py
@@ -216,7 +216,7 @@
 
 def _add_crashes(gateway: Gateway) -> None:
     """Record as many crashes in a gateway as its heartbeat reports."""
-    crashes = gateway.state.crashes
+    crashes = gateway.state.crash_history
     for number in range(_CRASHES):
         fingerprint = f"{number:016x}"
         target = f"i-{number:010x}"
