--- a/tests/entry/test_streams.py
+++ b/tests/entry/test_streams.py
@@ -310,3 +310,14 @@
     clock = trio.testing.MockClock(autojump_threshold=0)
     text = trio.run(main, clock=clock)
     assert text == fakes.compute_expected_text("lot", _TOKENS)
+
+
+def test_all_targets_of_a_range_fail():
+    """A fault sequence that :func:`test_any_faults` once chose.
+
+    Two engines of one range fail and the agent of the third one is killed, so
+    that no target serves the last layers.  The stream ends with a typed error
+    after its last attempt instead of a complete answer.
+    """
+    faults = [(1, _fail_engine, 5), (2, _fail_engine, 5), (3, _kill_agent, 5)]
+    test_any_faults.hypothesis.inner_test(faults)
