--- a/magnoliacove/gateway/peering.py
+++ b/magnoliacove/gateway/peering.py
@@ -16,7 +16,7 @@
 from magnoliacove.peers import Heartbeat
 from magnoliacove.peers import Heartbeats
 from magnoliacove.peers import ReportedCrash
-from magnoliacove.peers import ReportedHolding
+from magnoliacove.peers import ReportedEngineStatus
 from magnoliacove.peers import ReportedQuarantine
 from magnoliacove.peers import ReportedSuspicion
 from magnoliacove.placement.leadership import STORE_OUTAGE_SECONDS
@@ -125,7 +125,7 @@
                 for s in state.health.list_suspicions()
             ),
             holdings=tuple(
-                ReportedHolding(target, age, status)
+                ReportedEngineStatus(target, age, status)
                 for target, age, status in self._list_engine_statuses()
             ),
             services=state.retry_budget.list_counts(),
--- a/magnoliacove/peers/__init__.py
+++ b/magnoliacove/peers/__init__.py
@@ -2,7 +2,7 @@
 
 from magnoliacove.peers.datagram import Heartbeat
 from magnoliacove.peers.datagram import ReportedCrash
-from magnoliacove.peers.datagram import ReportedHolding
+from magnoliacove.peers.datagram import ReportedEngineStatus
 from magnoliacove.peers.datagram import ReportedQuarantine
 from magnoliacove.peers.datagram import ReportedSuspicion
 from magnoliacove.peers.heartbeats import Heartbeats
@@ -13,7 +13,7 @@
     "Heartbeats",
     "Peer",
     "ReportedCrash",
-    "ReportedHolding",
+    "ReportedEngineStatus",
     "ReportedQuarantine",
     "ReportedSuspicion",
 ]
--- a/magnoliacove/peers/datagram.py
+++ b/magnoliacove/peers/datagram.py
@@ -20,7 +20,7 @@
 __all__ = [
     "Heartbeat",
     "ReportedCrash",
-    "ReportedHolding",
+    "ReportedEngineStatus",
     "ReportedQuarantine",
     "ReportedSuspicion",
 ]
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True)
-class ReportedHolding:
+class ReportedEngineStatus:
     """An engine's status, as reported to the placement leader.
 
     :param age: seconds since the report.
@@ -136,7 +136,7 @@
     crossings: int
     loads: dict[str, TargetLoad]
     suspicions: tuple[ReportedSuspicion, ...]
-    holdings: tuple[ReportedHolding, ...]
+    holdings: tuple[ReportedEngineStatus, ...]
     services: dict[str, tuple[int, int]]
     peers: tuple[str, ...]
     acting: bool = False
@@ -351,7 +351,9 @@
     }
 
 
-def _write_holdings(items: Sequence[ReportedHolding]) -> dict[str, list[Any]]:
+def _write_holdings(
+    items: Sequence[ReportedEngineStatus],
+) -> dict[str, list[Any]]:
     holdings = [item.holding for item in items]
     ranges = [holding.layers or LayerRange(0, 0) for holding in holdings]
     return {
@@ -366,7 +368,7 @@
     }
 
 
-def _read_holdings(read: Any) -> tuple[ReportedHolding, ...]:
+def _read_holdings(read: Any) -> tuple[ReportedEngineStatus, ...]:
     columns = zip(
         read.targets,
         read.ages,
@@ -379,7 +381,7 @@
         strict=True,
     )
     return tuple(
-        ReportedHolding(
+        ReportedEngineStatus(
             target,
             age / 1000,
             EngineStatus(
--- a/measure/gateway.py
+++ b/measure/gateway.py
@@ -95,7 +95,7 @@
         },
         suspicions=(),
         holdings=tuple(
-            peers.ReportedHolding(
+            peers.ReportedEngineStatus(
                 name,
                 rng.random(),
                 EngineStatus(
--- a/measure/peering.py
+++ b/measure/peering.py
@@ -113,7 +113,7 @@
         },
         suspicions=(),
         holdings=tuple(
-            peers.ReportedHolding(
+            peers.ReportedEngineStatus(
                 name, 0.1, EngineStatus(LayerRange(n % 72, 80))
             )
             for n, name in enumerate(engines)
--- a/tests/peers/samples.py
+++ b/tests/peers/samples.py
@@ -28,12 +28,12 @@
             peers.ReportedSuspicion("i-2", 0.25, "no report", True),
         ),
         "holdings": (
-            peers.ReportedHolding(
+            peers.ReportedEngineStatus(
                 "i-1",
                 0.5,
                 EngineStatus(LayerRange(0, 34), True, 2.0, 10.0, True),
             ),
-            peers.ReportedHolding("i-3", 0.0, EngineStatus(None)),
+            peers.ReportedEngineStatus("i-3", 0.0, EngineStatus(None)),
         ),
         "services": {"llm": (30, 2)},
         "recent": {"llm": 6, "desk": 1},
