--- a/magnoliacove/gateway/limit_sharing.py
+++ b/magnoliacove/gateway/limit_sharing.py
@@ -187,7 +187,7 @@
         listed = self._targets.find(target)
         service = listed.service if listed is not None else ""
         return {
-            name: self._unreported.read_pace(
+            name: self._unreported.read_request_rate(
                 service, "" if name == self._name else name
             )
             for name in gateways
--- a/magnoliacove/limits/unreported.py
+++ b/magnoliacove/limits/unreported.py
@@ -87,7 +87,7 @@
         """Return this gateway's requests of each service in the window."""
         return {name: self._own.count(name) for name in self._own.list_names()}
 
-    def read_pace(self, service: str, gateway: str = "") -> float:
+    def read_request_rate(self, service: str, gateway: str = "") -> float:
         """Return the requests per second that a gateway had for a service.
 
         :param gateway: another gateway, or "" for this one.
