--- a/magnoliacove/gateway/crashes.py
+++ b/magnoliacove/gateway/crashes.py
@@ -287,12 +287,12 @@
     def _record_silent(self, runs: Iterable[CrashedRun]) -> None:
         """Record that the target of some runs does not answer."""
         for run in runs:
-            self._state.crash_history.silent.note(run)
+            self._state.crash_history.unresponsive.note(run)
         self._announce()
 
     def _record_result(self, ended: bool, run: CrashedRun) -> None:
         crashes = self._state.crash_history
-        crashes.silent.drop(run)
+        crashes.unresponsive.drop(run)
         if not ended:
             crashes.note_run(run.fingerprint, run.seconds)
             return
--- a/magnoliacove/gateway/peering.py
+++ b/magnoliacove/gateway/peering.py
@@ -153,7 +153,7 @@
             *(ReportedCrash(run, age) for run, age in crashes.list_own()),
             *(
                 ReportedCrash(run, age, silent=True)
-                for run, age in crashes.silent.list_own()
+                for run, age in crashes.unresponsive.list_own()
             ),
         )
 
@@ -213,7 +213,7 @@
         state.crash_history.take_answered(heartbeat.name, heartbeat.answered)
         for crash in heartbeat.crashes:
             if crash.silent:
-                state.crash_history.silent.note(crash.run, own=False)
+                state.crash_history.unresponsive.note(crash.run, own=False)
             else:
                 self._crash_watch.record_reported_crash(crash.run, crash.age)
         for reported in heartbeat.quarantines:
--- a/magnoliacove/limits/crashes.py
+++ b/magnoliacove/limits/crashes.py
@@ -93,14 +93,14 @@
     """Crashes of targets and the runs there, as all gateways report them.
 
     :param read_time: returns seconds.
-    :param silent: runs at unresponsive targets, of which it is not yet known
-        whether the target crashed.
+    :param unresponsive: runs at unresponsive targets, of which it is not yet
+        known whether the target crashed.
     """
 
     def __init__(
         self, read_time: Callable[[], float] = trio.current_time
     ) -> None:
-        self.silent = UnresponsiveRuns(read_time)
+        self.unresponsive = UnresponsiveRuns(read_time)
         self._read_time = read_time
         self._requests: OrderedDict[str, _Request] = OrderedDict()
         # Number of answers of each request, and the time of the last one.
@@ -118,7 +118,7 @@
         :returns: whether the crash was not recorded before.
         """
         at = self._read_time() - age
-        self.silent.drop(run)
+        self.unresponsive.drop(run)
         if age >= _RETENTION:
             return False
         request = self._requests.setdefault(run.fingerprint, _Request())
@@ -203,7 +203,7 @@
         when they are back; until then a request that crashes every target
         would crash all others.
         """
-        return bool(self.silent.find(fingerprint)) and self._has_crashes(
+        return bool(self.unresponsive.find(fingerprint)) and self._has_crashes(
             fingerprint, _MIN_CRASHES
         )
 
@@ -216,9 +216,9 @@
         :param min_targets: minimum number of targets.
         """
         request = self._requests.get(fingerprint, _Request())
-        silent = self.silent.find(fingerprint)
-        targets = request.list_targets() | {run.target for run in silent}
-        attempts = request.attempts | {run.attempt for run in silent}
+        unresponsive = self.unresponsive.find(fingerprint)
+        targets = request.list_targets() | {run.target for run in unresponsive}
+        attempts = request.attempts | {run.attempt for run in unresponsive}
         return (
             len(targets) >= min_targets
             and len(attempts) >= _MIN_ATTEMPTS
@@ -232,7 +232,7 @@
         """
         request = self._requests.get(fingerprint)
         ended = request is not None and bool(request.crashes)
-        return ended or bool(self.silent.find(fingerprint))
+        return ended or bool(self.unresponsive.find(fingerprint))
 
     def has_answered(self, fingerprint: str) -> bool:
         """Return whether this gateway recently answered a request."""
@@ -258,7 +258,7 @@
 
     def forget_old(self) -> None:
         """Discard requests whose history has expired."""
-        self.silent.forget_old()
+        self.unresponsive.forget_old()
         limit = self._read_time() - _RETENTION
         for fingerprint, request in list(self._requests.items()):
             if request.last_at < limit:
--- a/tests/limits/test_unresponsive.py
+++ b/tests/limits/test_unresponsive.py
@@ -35,31 +35,31 @@
     is back and reports its restart, the request would crash all others too.
     """
     for number in (1, 2):
-        history.silent.note(_run(number))
+        history.unresponsive.note(_run(number))
         assert not history.is_deferred(_BAD)
     assert history.is_suspected(_BAD)
-    history.silent.note(_run(3), own=False)
+    history.unresponsive.note(_run(3), own=False)
     assert history.is_deferred(_BAD)
 
 
 def test_a_single_attempt_is_not_deferred(history):
     """A whole data centre becomes unresponsive while a stream is rerouted."""
     for number in (1, 2, 3):
-        history.silent.note(_run(number, attempt=9))
+        history.unresponsive.note(_run(number, attempt=9))
     assert not history.is_deferred(_BAD)
 
 
 def test_an_answered_request_is_not_deferred(history):
     for number in (1, 2, 3):
-        history.silent.note(_run(number))
+        history.unresponsive.note(_run(number))
     history.note_answered(_BAD)
     assert not history.is_deferred(_BAD)
 
 
 def test_a_target_that_answers_again_no_longer_counts(history):
     for number in (1, 2, 3):
-        history.silent.note(_run(number))
-    history.silent.drop(_run(2))
+        history.unresponsive.note(_run(number))
+    history.unresponsive.drop(_run(2))
     assert not history.is_deferred(_BAD)
 
 
@@ -69,7 +69,7 @@
     """
     history.note_crash(_run(1))
     history.note_crash(_run(2))
-    history.silent.note(_run(3))
+    history.unresponsive.note(_run(3))
     assert history.is_deferred(_BAD)
     assert not history.find_causes(())
     history.note_crash(_run(3))
@@ -80,17 +80,17 @@
 @pytest.mark.parametrize(("own", "seconds"), [(False, 7.0), (True, 31.0)])
 def test_unresponsive_runs_expire(history, time, own, seconds):
     for number in (1, 2, 3):
-        history.silent.note(_run(number), own=own)
+        history.unresponsive.note(_run(number), own=own)
     assert history.is_deferred(_BAD)
-    assert bool(history.silent.list_own()) == own
+    assert bool(history.unresponsive.list_own()) == own
     time.now += seconds
     assert not history.is_deferred(_BAD)
-    assert not history.silent.list_own()
+    assert not history.unresponsive.list_own()
 
 
 def test_a_peer_report_does_not_shorten_an_own_observation(history, time):
     for number in (1, 2, 3):
-        history.silent.note(_run(number))
-        history.silent.note(_run(number), own=False)
+        history.unresponsive.note(_run(number))
+        history.unresponsive.note(_run(number), own=False)
     time.now += 10.0
     assert history.is_deferred(_BAD)
