--- a/magnoliacove/limits/backpressure.py
+++ b/magnoliacove/limits/backpressure.py
@@ -27,14 +27,14 @@
     :param rate_limit: requests per second that the target accepts from all
         gateways together, None when the answer has no limit.
     :param leaving: whether the target accepts no new requests any more.
-    :param rest: back-off in seconds, during which this gateway is asked to
-        send the target nothing.
+    :param backoff: seconds during which this gateway is asked to send the
+        target nothing.
     :param unreadable: header values that cannot be parsed, or "".
     """
 
     rate_limit: float | None = None
     leaving: bool = False
-    rest: float = 0.0
+    backoff: float = 0.0
     unreadable: str = ""
 
 
@@ -110,10 +110,10 @@
             the limit that answers to callers' requests carry.
         """
         now = self._read_time()
-        if notice.rest:
+        if notice.backoff:
             # An answer that was in flight may ask for a shorter back-off
             # than an earlier one.
-            until = max(self._backoffs.get(target, 0.0), now + notice.rest)
+            until = max(self._backoffs.get(target, 0.0), now + notice.backoff)
             self._backoffs[target] = until
         if notice.leaving:
             self._leaving.add(target)
@@ -122,7 +122,7 @@
         ):
             self._set_limit(target, _Limit(notice.rate_limit, now, True))
         previous = self._notices.get(target, _NO_NOTICE)
-        if notice == previous and not notice.rest:
+        if notice == previous and not notice.backoff:
             return
         self._notices[target] = notice
         self._recorder.record(
@@ -132,7 +132,7 @@
             source=source,
             rate_limit=notice.rate_limit,
             leaving=notice.leaving,
-            rest=notice.rest,
+            rest=notice.backoff,
         )
 
     def take_reported(
--- a/magnoliacove/platform/notices.py
+++ b/magnoliacove/platform/notices.py
@@ -32,7 +32,7 @@
     return TargetNotice(
         rate_limit=rate_limit,
         leaving=values.get(_LEAVING, b"").strip() == _YES,
-        rest=back_off or 0.0,
+        backoff=back_off or 0.0,
         unreadable=", ".join(unreadable),
     )
 
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -227,7 +227,7 @@
     async with stubs.open_harness() as harness:
         await harness.add("i-1", _answer_streams(_STREAM), layers=(0, 40))
         await harness.add("i-2", _answer_streams(_STREAM), layers=(40, 80))
-        notice = TargetNotice(rest=3.0)
+        notice = TargetNotice(backoff=3.0)
         harness.state.backpressure.take("i-2", notice, "a test")
         assert (await _ask_stream(harness)).split(b" ")[1] == b"503"
 
--- a/tests/limits/test_backpressure.py
+++ b/tests/limits/test_backpressure.py
@@ -73,7 +73,7 @@
 
 def test_a_restarted_target_has_no_backpressure():
     book, _ = _make_book()
-    notice = TargetNotice(rate_limit=1.2, leaving=True, rest=3.0)
+    notice = TargetNotice(rate_limit=1.2, leaving=True, backoff=3.0)
     book.take("i-1@7", notice, "a request")
     assert book.read_limit("i-1@8") is None
     assert not book.is_leaving("i-1@8")
@@ -85,7 +85,7 @@
 
 def test_a_backoff_ends_after_its_time():
     book, clock = _make_book()
-    book.take("i-1", TargetNotice(rest=3.0), "a request")
+    book.take("i-1", TargetNotice(backoff=3.0), "a request")
     clock.now += 2.9
     assert 0.0 < book.read_backoff("i-1") <= 0.11
     clock.now += 0.2
@@ -97,8 +97,8 @@
     back-off of ten seconds and the second with one second; ten still apply.
     """
     book, clock = _make_book()
-    book.take("i-1", TargetNotice(rest=10.0), "a request")
-    book.take("i-1", TargetNotice(rest=1.0), "a request")
+    book.take("i-1", TargetNotice(backoff=10.0), "a request")
+    book.take("i-1", TargetNotice(backoff=1.0), "a request")
     clock.now += 9.0
     assert book.read_backoff("i-1") > 0.9
 
--- a/tests/limits/test_grants.py
+++ b/tests/limits/test_grants.py
@@ -151,7 +151,7 @@
 
 def test_a_backoff_applies_to_requests_and_own_queries():
     permits, book, _, clock = _make_permits()
-    book.take("i-1", TargetNotice(rest=3.0), "a request")
+    book.take("i-1", TargetNotice(backoff=3.0), "a request")
     for allowed in (False, True):
         assert permits.may_send("i-1") is allowed
         assert permits.try_call("i-1") is allowed
--- a/tests/platform/test_notices.py
+++ b/tests/platform/test_notices.py
@@ -14,7 +14,7 @@
         (503, [(b"server-limit", b" 0 ")], TargetNotice(rate_limit=0.0)),
         (421, [(b"server-leaving", b"1")], TargetNotice(leaving=True)),
         (200, [(b"server-leaving", b"0")], TargetNotice()),
-        (503, [(b"retry-after", b"2.5")], TargetNotice(rest=2.5)),
+        (503, [(b"retry-after", b"2.5")], TargetNotice(backoff=2.5)),
         # With another status it does not ask for a back-off.
         (429, [(b"retry-after", b"2.5")], TargetNotice()),
     ],
@@ -29,6 +29,6 @@
         503, [(b"server-limit", text), (b"retry-after", text)]
     )
     assert notice.rate_limit is None
-    assert notice.rest == 0.0
+    assert notice.backoff == 0.0
     assert "server-limit" in notice.unreadable
     assert "retry-after" in notice.unreadable
