--- a/magnoliacove/gateway/process.py
+++ b/magnoliacove/gateway/process.py
@@ -188,7 +188,7 @@
             controller.ControllerInputs(
                 targets=targets,
                 health=health,
-                holdings=engine_statuses,
+                engine_statuses=engine_statuses,
                 loads=loads,
                 permits=permits,
                 calls=self._calls,
--- a/magnoliacove/placement/controller.py
+++ b/magnoliacove/placement/controller.py
@@ -85,7 +85,7 @@
 
     targets: TargetList
     health: Health
-    holdings: EngineStatuses
+    engine_statuses: EngineStatuses
     loads: LoadBook
     permits: Permits
     calls: EngineCalls
@@ -247,7 +247,7 @@
             # Layers that the engine is giving up receive no new work.
             layers = layers.intersect(ordered)
         moving = engine.interrupted and layers != report.layers
-        changed = self._inputs.holdings.note(
+        changed = self._inputs.engine_statuses.note(
             target.name,
             EngineStatus(
                 layers, report.loading, report.slowness, report.used, moving
@@ -348,7 +348,7 @@
             layers = (
                 report.layers
                 if report is not None
-                else self._inputs.holdings.read(target).layers
+                else self._inputs.engine_statuses.read(target).layers
             )
         return EngineState(
             target=target.name,
@@ -420,7 +420,7 @@
         kept = loaded.intersect(item.layers) if loaded else None
         moving = item.closes_gap and kept != loaded
         status = EngineStatus(kept, True, moving=moving)
-        if self._inputs.holdings.note(target.name, status):
+        if self._inputs.engine_statuses.note(target.name, status):
             self._inputs.publish_status()
 
 
