--- a/magnoliacove/commands/entry.py
+++ b/magnoliacove/commands/entry.py
@@ -87,7 +87,7 @@
             options["seeds"],
             settings.bind("--metrics", metrics) if metrics else None,
             tls=tls,
-            room=options["room"],
+            max_running=options["room"],
         )
     )
 
--- a/magnoliacove/entry/process.py
+++ b/magnoliacove/entry/process.py
@@ -40,7 +40,7 @@
     :param operator_keys: operators' names by the SHA-256 of their keys.
     :param seeds: peers to ask when the platform's store is down.
     :param meters: a listening socket for metrics, or None.
-    :param room: the number of requests that may run at the same time.
+    :param max_running: the number of requests that may run at the same time.
     """
 
     identity: Identity
@@ -54,7 +54,7 @@
     chooser: routing.ChainChooser | None = None
     clock: Clock | None = None
     tls: web.ServerTls | None = None
-    room: int = defaults.RUNNING_PER_ENTRY
+    max_running: int = defaults.RUNNING_PER_ENTRY
 
 
 class Entry:
@@ -70,7 +70,7 @@
         self.operators_url = ""
         self._parts = parts
         self._meters = Meters(self._read_gauges, self._is_ready)
-        self.admission = limits.Admission(lambda: parts.room)
+        self.admission = limits.Admission(lambda: parts.max_running)
         self.runner = ServiceRunner(
             self.process.view,
             self.pool,
