--- a/measure/herd.py
+++ b/measure/herd.py
@@ -91,7 +91,7 @@
 
     name: str
     loads: LoadBook
-    unheard: UnreportedRequests
+    unreported: UnreportedRequests
 
 
 @dataclass(eq=False)
@@ -141,12 +141,12 @@
     def send_heartbeat(self, sender: Gateway) -> None:
         """Deliver a heartbeat of one gateway to all others."""
         loads = dict(sender.loads.list_own())
-        counts = sender.unheard.list_counts()
-        seconds = sender.unheard.counted_for
+        counts = sender.unreported.list_counts()
+        seconds = sender.unreported.counted_for
         for other in self.gateways:
             if other is not sender:
                 other.loads.take_others(sender.name, loads, 0)
-                other.unheard.take_others(sender.name, counts, seconds)
+                other.unreported.take_others(sender.name, counts, seconds)
 
 
 Policy = Callable[[World, Gateway], Path | None]
@@ -175,7 +175,7 @@
 def choose_with_unreported(world: World, decider: Gateway) -> Path | None:
     """Account for requests that other gateways have not reported yet."""
     displaced = world.count_displaced(decider.loads)
-    ahead = decider.unheard.sample_ahead(_SERVICE, world.rng, displaced)
+    ahead = decider.unreported.sample_ahead(_SERVICE, world.rng, displaced)
     options = world.read_options(decider.loads)
     return find_path(options, _COSTS, None, ahead)
 
@@ -274,7 +274,7 @@
         pause = world.rng.expovariate(_REQUEST_RATE * self._fleet.engines)
         self._schedule(world.now + pause, self._arrive)
         decider = world.rng.choice(world.gateways)
-        decider.unheard.note_request(_SERVICE)
+        decider.unreported.note_request(_SERVICE)
         choice = self._begin(decider)
         if choice is None or world.now < _WARM_UP:
             return
--- a/measure/limits.py
+++ b/measure/limits.py
@@ -107,13 +107,13 @@
         targets.apply(ListedTarget(ENGINE, _SERVICE, Address("x", 1), "a"))
         self.book = BackpressureBook(recorder, clock.read)
         self.grants = GrantBook(name, clock.read)
-        self.unheard = UnreportedRequests(clock.read)
+        self.unreported = UnreportedRequests(clock.read)
         self.sharing = LimitSharing(
             name,
             targets,
             self.book,
             self.grants,
-            self.unheard,
+            self.unreported,
             self.list_live,
             lambda: False,
             clock.read,
@@ -146,8 +146,8 @@
         self.next_heartbeat_at = self.clock.now + self.interval
         return LimitHeartbeat(
             self.name,
-            self.unheard.counted_for,
-            self.unheard.list_counts(),
+            self.unreported.counted_for,
+            self.unreported.list_counts(),
             tuple(self.book.list_own()),
             self.sharing.issue_grants(),
         )
@@ -157,7 +157,7 @@
         self.received[heartbeat.name] = ReceivedHeartbeat(
             heartbeat, self.clock.now
         )
-        self.unheard.take_others(
+        self.unreported.take_others(
             heartbeat.name, heartbeat.recent, heartbeat.counted_for
         )
         self.sharing.take(heartbeat)
@@ -322,7 +322,7 @@
         for gateway in self._up:
             if self._rng.random() >= self.demand * _STEP:
                 continue
-            gateway.unheard.note_request(_SERVICE)
+            gateway.unreported.note_request(_SERVICE)
             if _LIMIT_AT + _CONVERGENCE_TIME <= now < self.quiet_until:
                 continue
             limit = gateway.book.read_limit(ENGINE)
