--- a/magnoliacove/routing/paths.py
+++ b/magnoliacove/routing/paths.py
@@ -221,7 +221,7 @@
     return [
         replace(
             option,
-            room=option.room - tokens * layer_counts[option.target],
+            capacity=option.capacity - tokens * layer_counts[option.target],
             requests=option.requests + placed.requests,
             ahead=RequestsAhead(
                 option.ahead.requests + placed.requests, placed.seconds
--- a/magnoliacove/routing/search.py
+++ b/magnoliacove/routing/search.py
@@ -34,7 +34,7 @@
         # An engine may run only one of its layers, so the capacity of a
         # single layer in tokens is all of the engine's free token-layers.
         for n in range(option.layers.first, min(option.layers.end, layers)):
-            capacities[n] = max(capacities[n], option.room)
+            capacities[n] = max(capacities[n], option.capacity)
     bottleneck = min(range(layers), key=capacities.__getitem__)
     return bottleneck, capacities[bottleneck]
 
@@ -104,7 +104,7 @@
         if not any(
             other.layers.covers(layers.first, layers.end)
             and other_hop <= hop
-            and other.room >= costs.tokens * other.layers.count
+            and other.capacity >= costs.tokens * other.layers.count
             for other, other_hop in kept
         ):
             kept.append((option, hop))
@@ -159,7 +159,7 @@
                 for previous, step in best[at].items()
             )
             for end in _list_ends(option, at, cuts, last):
-                if costs.tokens * (end - at) > option.room:
+                if costs.tokens * (end - at) > option.capacity:
                     continue
                 seconds = base + hop + per_layer * (end - at)
                 present = best[end].get(data_centre)
--- a/magnoliacove/routing/stages.py
+++ b/magnoliacove/routing/stages.py
@@ -40,7 +40,7 @@
 
     :param target: the engine's name.
     :param layers: the layers that it has loaded.
-    :param room: its free capacity for a new request, in token-layers.
+    :param capacity: its free capacity for a new request, in token-layers.
     :param requests: requests that pass through it now.
     :param slowness: factor on its usual times; above 1 when it is slow.
     :param ahead: requests that are assumed to be on their way to it.
@@ -51,7 +51,7 @@
     data_centre: str
     accelerator: str
     layers: LayerRange
-    room: float
+    capacity: float
     requests: int = 0
     slowness: float = 1.0
     ahead: RequestsAhead = NO_REQUESTS_AHEAD
--- a/measure/herd.py
+++ b/measure/herd.py
@@ -124,7 +124,7 @@
             replace(
                 option,
                 requests=load.requests,
-                room=option.room - load.token_layers,
+                capacity=option.capacity - load.token_layers,
             )
             for option in self.options
             if option.target not in self.failed
@@ -351,7 +351,7 @@
         count = stage.end - stage.first
         seconds += _COSTS.layer_seconds(option) * count
         seconds += _COSTS.hop_seconds(option)
-        fits = fits and option.room >= _COSTS.tokens * count
+        fits = fits and option.capacity >= _COSTS.tokens * count
     return seconds, fits
 
 
--- a/tests/routing/test_candidates.py
+++ b/tests/routing/test_candidates.py
@@ -74,10 +74,10 @@
     total = _SHAPE.compute_capacity("l4", 8)
     world.loads.take_others("e-2", {"i-1": TargetLoad(3, 1000.0)}, 0)
     [option] = world.candidates.list_options("llm", _SHAPE)
-    assert option.room == total - 1000.0
+    assert option.capacity == total - 1000.0
     world.statuses.note("i-1", EngineStatus(LayerRange(0, 8), used=5000.0))
     [option] = world.candidates.list_options("llm", _SHAPE)
-    assert option.room == total - 5000.0
+    assert option.capacity == total - 5000.0
 
 
 async def test_pause_of_a_refusing_engine_doubles(
--- a/tests/routing/test_paths.py
+++ b/tests/routing/test_paths.py
@@ -37,9 +37,9 @@
             min(80, first + count),
             place=place,
             kind=kind,
-            room=room,
+            capacity=capacity,
         )
-        for n, (first, count, place, kind, room) in enumerate(sampled)
+        for n, (first, count, place, kind, capacity) in enumerate(sampled)
     ]
 
 
@@ -59,7 +59,7 @@
     for stage in path.stages:
         option = options[stage.target]
         assert option.layers.covers(stage.first, stage.end)
-        assert _COSTS.tokens * (stage.end - stage.first) <= option.room
+        assert _COSTS.tokens * (stage.end - stage.first) <= option.capacity
 
 
 @given(_OPTIONS, st.integers(0, 60))
@@ -85,7 +85,7 @@
     A request with four ahead goes there, one with five ahead to the other.
     """
     quick = make_option(
-        "quick", 0, 80, place="a", kind="h100", room=5.5 * 946 * 80
+        "quick", 0, 80, place="a", kind="h100", capacity=5.5 * 946 * 80
     )
     slow = make_option("slow", 0, 80, place="b", kind="t4")
 
@@ -139,7 +139,7 @@
             slowness=3.0,
         )
         for o in options
-        if o.room == 1e6 and o.layers.count > 1
+        if o.capacity == 1e6 and o.layers.count > 1
     ]
     plain = paths.find_path(options, _COSTS)
     found = paths.find_path(options + twins, _COSTS)
@@ -162,7 +162,7 @@
     )
     options = [
         make_option("first", 0, 40, kind="h100"),
-        make_option("near", 40, 80, kind="a100s", room=10.5 * 946 * 40),
+        make_option("near", 40, 80, kind="a100s", capacity=10.5 * 946 * 40),
         make_option("far", 40, 80, kind="t4"),
     ]
 
@@ -236,8 +236,8 @@
 
 def test_bottlenecks_are_described():
     options = [
-        make_option("i-1", 0, 70, room=500.0),
-        make_option("i-2", 0, 80, place="b", room=90.0),
+        make_option("i-1", 0, 70, capacity=500.0),
+        make_option("i-2", 0, 80, place="b", capacity=90.0),
     ]
     bottlenecks = paths.describe_bottlenecks(options, 80)
     assert bottlenecks == {"a": "70: 0", "b": "0: 90"}
--- a/tests/shapes.py
+++ b/tests/shapes.py
@@ -38,7 +38,7 @@
 
 def make_option(name, first, end, *, place="a", kind="l4", **changes):
     """Return a stage option: an engine with a range of layers loaded."""
-    values = {"room": 1e9, **changes}
+    values = {"capacity": 1e9, **changes}
     return StageOption(
         name,
         Address("10.0.0.1", sum(name.encode()) + 1000),
