--- a/magnoliacove/directory/engine_status.py
+++ b/magnoliacove/directory/engine_status.py
@@ -123,11 +123,11 @@
             if now - at <= _MAX_AGE
         ]
 
-    def forget(self, known: set[str]) -> None:
+    def discard_unlisted(self, listed: set[str]) -> None:
         """Discard the reports of targets that no longer exist.
 
-        :param known: the names of the targets that exist.
+        :param listed: the names of the targets that exist.
         """
-        for target in set(self._reported) - known:
+        for target in set(self._reported) - listed:
             del self._reported[target]
             self._corrected.pop(target, None)
--- a/magnoliacove/directory/health.py
+++ b/magnoliacove/directory/health.py
@@ -123,11 +123,11 @@
         for listener in self._listeners:
             listener(suspicion)
 
-    def forget(self, known: set[str]) -> None:
+    def discard_unlisted(self, listed: set[str]) -> None:
         """Discard the suspicions of targets that no longer exist.
 
-        :param known: the names of the targets that exist.
+        :param listed: the names of the targets that exist.
         """
-        for target in set(self._durations) - known:
+        for target in set(self._durations) - listed:
             self._durations.pop(target)
             self._suspicions.pop(target, None)
--- a/magnoliacove/entry/pool.py
+++ b/magnoliacove/entry/pool.py
@@ -222,7 +222,7 @@
             )
             self._peers[name] = peer
             self._nursery.start_soon(peer.run)
-        self.estimates.forget(set(addresses))
+        self.estimates.discard_unlisted(set(addresses))
 
     def _get_heartbeat_interval(self, active: bool) -> float:
         """Return the seconds between heartbeats on an idle connection.
--- a/magnoliacove/gateway/limit_sharing.py
+++ b/magnoliacove/gateway/limit_sharing.py
@@ -134,7 +134,7 @@
 
     def remove_peers(self, gateways: Iterable[str]) -> None:
         """Discard the grants of gateways that are unreachable."""
-        self._grants.forget(gateways)
+        self._grants.forget_peers(gateways)
         self._next_check_at = 0.0
         self._refresh()
 
--- a/magnoliacove/gateway/peering.py
+++ b/magnoliacove/gateway/peering.py
@@ -239,9 +239,9 @@
 
     def _remove_peers(self, names: list[str]) -> None:
         self._state.crash_history.forget_peers(names)
-        self._state.loads.forget(names)
-        self._state.retry_budget.forget(names)
-        self._state.unreported.forget(names)
+        self._state.loads.forget_peers(names)
+        self._state.retry_budget.forget_peers(names)
+        self._state.unreported.forget_peers(names)
         self._sharing.remove_peers(names)
 
     def announce_update(self) -> None:
--- a/magnoliacove/limits/backpressure.py
+++ b/magnoliacove/limits/backpressure.py
@@ -201,15 +201,15 @@
         """Return whether a target has announced that it leaves."""
         return target in self._leaving
 
-    def forget(self, known: set[str]) -> None:
+    def discard_unlisted(self, listed: set[str]) -> None:
         """Discard the backpressure of targets that no longer exist.
 
-        :param known: the targets that exist.
+        :param listed: the targets that exist.
         """
         for values in (self._notices, self._limits, self._backoffs):
-            for target in set(values) - known:
+            for target in set(values) - listed:
                 del values[target]
-        self._leaving &= known
+        self._leaving &= listed
 
     def _set_limit(self, target: str, limit: _Limit) -> None:
         changed = limit.rate != self.read_limit(target)
--- a/magnoliacove/limits/grants.py
+++ b/magnoliacove/limits/grants.py
@@ -153,7 +153,7 @@
         else:
             self._granted.pop(coordinator, None)
 
-    def forget(self, gateways: Iterable[str]) -> None:
+    def forget_peers(self, gateways: Iterable[str]) -> None:
         """Discard the grants of gateways that are unreachable."""
         for name in gateways:
             self._granted.pop(name, None)
--- a/magnoliacove/limits/load.py
+++ b/magnoliacove/limits/load.py
@@ -134,7 +134,7 @@
         for target, load in loads.items():
             self._add(target, load.requests, load.token_layers)
 
-    def forget(self, gateways: Iterable[str]) -> None:
+    def forget_peers(self, gateways: Iterable[str]) -> None:
         """Discard the reports of gateways that are unreachable."""
         for gateway in gateways:
             self._subtract(gateway)
--- a/magnoliacove/limits/permits.py
+++ b/magnoliacove/limits/permits.py
@@ -123,10 +123,10 @@
             self._next_leader_call[target] = self._read_time() + 1 / rate
         return True
 
-    def forget(self, known: set[str]) -> None:
+    def discard_unlisted(self, listed: set[str]) -> None:
         """Discard the state of targets that no longer exist.
 
-        :param known: the targets that exist.
+        :param listed: the targets that exist.
         """
-        for target in set(self._next_leader_call) - known:
+        for target in set(self._next_leader_call) - listed:
             del self._next_leader_call[target]
--- a/magnoliacove/limits/retries.py
+++ b/magnoliacove/limits/retries.py
@@ -103,7 +103,7 @@
         """Replace the counts that another gateway reported."""
         self._others[gateway] = counts
 
-    def forget(self, gateways: list[str]) -> None:
+    def forget_peers(self, gateways: list[str]) -> None:
         """Discard the counts of gateways that are unreachable."""
         for gateway in gateways:
             self._others.pop(gateway, None)
--- a/magnoliacove/limits/unreported.py
+++ b/magnoliacove/limits/unreported.py
@@ -122,7 +122,7 @@
             total = self._sums.get(service, _Sum())
             self._sums[service] = total.add(rate, report.received_at)
 
-    def forget(self, gateways: Iterable[str]) -> None:
+    def forget_peers(self, gateways: Iterable[str]) -> None:
         """Discard the reports of gateways that are unreachable."""
         for gateway in gateways:
             self._subtract(gateway)
--- a/magnoliacove/routing/candidates.py
+++ b/magnoliacove/routing/candidates.py
@@ -326,14 +326,14 @@
         """Return the statistics of a target."""
         return self._statistics.setdefault(target, TargetStatistics())
 
-    def forget(self, known: set[str]) -> None:
+    def discard_unlisted(self, listed: set[str]) -> None:
         """Discard the state of targets that no longer exist.
 
-        :param known: the names of the targets that exist.
+        :param listed: the names of the targets that exist.
         """
-        for name in set(self._statistics) - known:
+        for name in set(self._statistics) - listed:
             del self._statistics[name]
-        for name in set(self._paused) - known:
+        for name in set(self._paused) - listed:
             del self._paused[name]
 
     def _rank(self, target: ListedTarget, now: float) -> tuple[float, float]:
--- a/magnoliacove/routing/estimates.py
+++ b/magnoliacove/routing/estimates.py
@@ -168,7 +168,7 @@
             before = self._links.get(link, 0.0)
             self._links[link] = max(0.0, before + _LINK_SMOOTHING * share)
 
-    def forget(self, names: set[str]) -> None:
+    def discard_unlisted(self, names: set[str]) -> None:
         """Discard the estimates of targets that no longer exist.
 
         :param names: the names of the targets that exist.
--- a/tests/gateway/test_limits.py
+++ b/tests/gateway/test_limits.py
@@ -248,7 +248,7 @@
         )
         await harness.ask("/get/1")
         assert harness.state.health.find("i-1").leaving
-        harness.state.health.forget(set())
+        harness.state.health.discard_unlisted(set())
         assert harness.state.health.is_usable("i-1")
         answer = await harness.ask("/get/1")
         assert answer.split(b" ")[1] == b"503"
--- a/tests/limits/test_backpressure.py
+++ b/tests/limits/test_backpressure.py
@@ -78,7 +78,7 @@
     assert book.read_limit("i-1@8") is None
     assert not book.is_leaving("i-1@8")
     assert book.read_backoff("i-1@8") == 0.0
-    book.forget({"i-1@8"})
+    book.discard_unlisted({"i-1@8"})
     assert book.list_limits() == {}
     assert not book.is_leaving("i-1@7")
 
--- a/tests/limits/test_capacity.py
+++ b/tests/limits/test_capacity.py
@@ -135,7 +135,7 @@
     assert book.read("i-1") == TargetLoad(5, 3500.0)
     assert book.all_crossings == 3
     book.release(first)
-    book.forget(["entry-2"])
+    book.forget_peers(["entry-2"])
     assert book.read("i-1") == TargetLoad()
     assert book.all_crossings == 0
     assert not book.list_own()
--- a/tests/limits/test_grants.py
+++ b/tests/limits/test_grants.py
@@ -106,7 +106,7 @@
     book.renew({"i-1": "g-2"})
     clock.now += 2.0
     assert book.may_send("i-1")
-    book.forget(["g-2"])
+    book.forget_peers(["g-2"])
     book.renew({"i-1": "g-2"})
     assert not book.may_send("i-1")
 
--- a/tests/limits/test_load.py
+++ b/tests/limits/test_load.py
@@ -30,7 +30,7 @@
     for gateway, report in reports:
         if report is None:
             last.pop(gateway, None)
-            book.forget([gateway])
+            book.forget_peers([gateway])
         else:
             last[gateway] = report
             book.take_others(gateway, *report)
--- a/tests/limits/test_unreported.py
+++ b/tests/limits/test_unreported.py
@@ -112,7 +112,7 @@
     unreported, last = UnreportedRequests(clock), {}
     for gateway, count, pause in reports:
         if count is None:
-            unreported.forget([gateway])
+            unreported.forget_peers([gateway])
             last.pop(gateway, None)
         else:
             unreported.take_others(gateway, {"llm": count}, 2.0)
