--- a/magnoliacove/agent/runner.py
+++ b/magnoliacove/agent/runner.py
@@ -403,5 +403,5 @@
         try:
             await self._engine.cancel(released)
         except targets.EngineError:
-            # The engine evicts caches by itself when it runs out of memory.
+            # The engine evicts caches on its own when it runs out of memory.
             return
--- a/magnoliacove/directory/health.py
+++ b/magnoliacove/directory/health.py
@@ -1,6 +1,6 @@
 """Suspicions that targets are unreachable or faulty.
 
-A suspicion blocks new work for a limited time and expires by itself.  Each
+A suspicion blocks new work for a limited time and expires automatically.  Each
 repeated suspicion lasts twice as long, so a target that fails repeatedly
 gets less and less work, and one suspected wrongly is soon in use again.
 """
@@ -15,7 +15,7 @@
 __all__ = ["Health", "Suspicion"]
 
 # Seconds that the first and the longest suspicion of a target last.  The
-# first one outlasts the three heartbeats after which the entry of a dead
+# first one outlasts the three heartbeats after which the entry of a failed
 # engine is removed.
 _INITIAL_DURATION = 2.0
 _MAX_DURATION = 16.0
--- a/magnoliacove/directory/leases.py
+++ b/magnoliacove/directory/leases.py
@@ -134,7 +134,7 @@
         try:
             await self._api.put(f"leases/{self.name}", value, self._version)
         except (errors.PlatformError, platform.VersionConflictError):
-            # The lease expires by itself.
+            # The lease expires without a release.
             return
 
     def _is_current(self) -> bool:
--- a/magnoliacove/directory/stale_entries.py
+++ b/magnoliacove/directory/stale_entries.py
@@ -15,8 +15,8 @@
 __all__ = ["StaleEntryFilter"]
 
 # Seconds after a restore in which entries of the store may be outdated.  Live
-# targets rewrite their entries within two seconds; entries of dead targets
-# lapse after three of their heartbeats.
+# targets rewrite their entries within two seconds; entries of failed
+# targets expire after three of their heartbeats.
 _REWRITE_PERIOD = 6.0
 # Seconds for which removed targets are remembered; snapshots are not older.
 _REMOVAL_RETENTION = 30.0
--- a/magnoliacove/entry/stages.py
+++ b/magnoliacove/entry/stages.py
@@ -113,7 +113,7 @@
             try:
                 self._pool.post(name, close)
             except errors.PeerError:
-                # The agent discards the stage by itself.
+                # The agent discards the stage without the message.
                 continue
 
     def _count(self, name: str) -> None:
--- a/magnoliacove/gateway/limit_sharing.py
+++ b/magnoliacove/gateway/limit_sharing.py
@@ -65,8 +65,8 @@
 class LimitSharing:
     """Shares the limits of targets with the other gateways, for one gateway.
 
-    One gateway, the keeper of a limit, divides it and issues the parts as
-    grants.
+    One gateway, the coordinator of a limit, divides it and issues the parts
+    as grants.
 
     :param list_live: returns the live gateways.
     """
@@ -91,13 +91,13 @@
         self._is_leaving = is_leaving
         self._read_time = read_time
         self._issued: tuple[Grant, ...] = ()
-        self._keepers: dict[str, str] = {}
+        self._coordinators: dict[str, str] = {}
         self._limited_targets: frozenset[str] = frozenset()
         self._chosen_for: tuple[frozenset[str], tuple[str, ...]] | None = None
         self._next_check_at = 0.0
 
     def issue_grants(self) -> tuple[Grant, ...]:
-        """Issue and return the grants of limits that this gateway keeps."""
+        """Issue and return grants of limits this gateway coordinates."""
         limits = self._book.list_limits()
         self._refresh()
         if not limits:
@@ -112,18 +112,20 @@
         if not self._is_leaving():
             staying.append(self._name)
         issued: list[Grant] = []
-        for target, keeper in self._keepers.items():
-            if keeper == self._name:
-                paces = self._read_paces(target, staying)
+        for target, coordinator in self._coordinators.items():
+            if coordinator == self._name:
+                request_rates = self._read_request_rates(target, staying)
                 holders = {
                     grant.gateway
                     for grant in self._issued
                     if grant.target == target
                 }
-                issued += divide_limit(target, limits[target], paces, holders)
+                issued += divide_limit(
+                    target, limits[target], request_rates, holders
+                )
         self._issued = tuple(issued)
         self._grants.take(self._name, issued)
-        self._grants.renew(self._keepers)
+        self._grants.renew(self._coordinators)
         return self._issued
 
     def take(self, update: PeerLimits) -> None:
@@ -139,7 +141,7 @@
         self._refresh()
 
     def _refresh(self) -> None:
-        """Update the keeper of each limit and apply the grants it issues."""
+        """Update each limit's coordinator and apply the grants it issues."""
         limited_targets = frozenset(self._book.list_limits())
         now = self._read_time()
         if (
@@ -148,25 +150,25 @@
         ):
             self._limited_targets = limited_targets
             self._next_check_at = now + _CHECK_INTERVAL
-            self._choose_keepers()
-        self._grants.renew(self._keepers)
+            self._choose_coordinators()
+        self._grants.renew(self._coordinators)
 
-    def _choose_keepers(self) -> None:
-        """Choose keepers again if the limits or the gateways changed."""
+    def _choose_coordinators(self) -> None:
+        """Choose coordinators again if the limits or gateways changed."""
         limited_targets = self._limited_targets
         gateways = (
             tuple(sorted(self._list_eligible())) if limited_targets else ()
         )
         if (limited_targets, gateways) != self._chosen_for:
             self._chosen_for = (limited_targets, gateways)
-            self._keepers = {
+            self._coordinators = {
                 target: choose_owner(target, gateways)
                 for target in limited_targets
                 if gateways
             }
 
     def _list_eligible(self) -> Iterable[str]:
-        """Return the gateways that may keep limits."""
+        """Return the gateways that may coordinate limits."""
         now = self._read_time()
         for peer in self._list_live():
             # The reported value has aged since it was received.  Without the
@@ -181,7 +183,7 @@
         ):
             yield self._name
 
-    def _read_paces(
+    def _read_request_rates(
         self, target: str, gateways: Iterable[str]
     ) -> dict[str, float]:
         listed = self._targets.find(target)
--- a/magnoliacove/gateway/process.py
+++ b/magnoliacove/gateway/process.py
@@ -249,8 +249,8 @@
             if balancer_done:
                 # A balancer without another gateway in this data centre
                 # continues to send callers here.  A caller that is refused
-                # tries elsewhere, while one that is accepted now would be cut
-                # off at the end of the grace time.
+                # retries elsewhere, while one that is accepted now would be
+                # cut off at the end of the grace time.
                 self._accepting.cancel()
                 for connection in tuple(self._connections):
                     connection.close_if_idle()
--- a/magnoliacove/placement/leadership.py
+++ b/magnoliacove/placement/leadership.py
@@ -108,7 +108,7 @@
         inputs.record_store_answer()
 
     async def release(self) -> None:
-        """Give up leadership for good, so that another gateway takes over."""
+        """Release leadership permanently; another gateway takes over."""
         self._leaving = True
         self.acting = False
         with trio.move_on_after(defaults.STORE_TIMEOUT):
--- a/soak/gateways.py
+++ b/soak/gateways.py
@@ -42,7 +42,8 @@
     """One gateway process on its own loopback address.
 
     :param stopping: whether it was asked to end and has not been restarted.
-    :param unexpected_exits: the exit codes of ends that nobody asked for.
+    :param unexpected_exits: the exit codes when the process ended without
+        being asked to.
     """
 
     def __init__(
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -38,7 +38,7 @@
             link.reset()
 
     def blackhole_all(self, *, up: bool = True, down: bool = True) -> None:
-        """Drop the data of open connections for good; new ones work.
+        """Drop the data of open connections permanently; new ones work.
 
         :param up: whether data to the target is dropped.
         :param down: whether data from the target is dropped.
--- a/tests/configuration/test_journal.py
+++ b/tests/configuration/test_journal.py
@@ -105,7 +105,7 @@
     """A process resumes with an old document after a compaction.
 
     The compaction freed the name of the next version, so the process's
-    write succeeds there, but nobody would read it.  The checkpoint shows
+    write succeeds there, but no process would read it.  The checkpoint shows
     that the version was used; the change becomes the newest one instead.
     """
     store = object_api.ObjectStore()
--- a/tests/gateway/test_limit_sharing.py
+++ b/tests/gateway/test_limit_sharing.py
@@ -31,27 +31,27 @@
     gateway.book.take(limits.ENGINE, notice, "a test")
 
 
-def test_one_gateway_keeps_a_limit_that_another_one_received():
+def test_one_gateway_coordinates_a_limit_that_another_one_received():
     gateways, clock = _make_fleet(6)
     _beat_all(gateways)
     clock.now += 3.0
     _report_limit(gateways[3])
     _beat_all(gateways)
     issued = _beat_all(gateways)
-    [(keeper, grants)] = [item for item in issued.items() if item[1]]
+    [(coordinator, grants)] = [item for item in issued.items() if item[1]]
     assert sum(grant.rate for grant in grants) == pytest.approx(1.2)
     assert {
         gateway.book.read_limit(limits.ENGINE) for gateway in gateways
     } == {1.2}
     rates = [gateway.grants.read_rate(limits.ENGINE) for gateway in gateways]
     assert sum(rates) == pytest.approx(1.2)
-    assert keeper in {gateway.name for gateway in gateways}
+    assert coordinator in {gateway.name for gateway in gateways}
 
 
-def test_a_gateway_that_has_just_started_keeps_no_limit():
+def test_a_gateway_that_has_just_started_coordinates_no_limit():
     """A gateway that just started has not received all heartbeats yet.  As
-    the keeper of a limit it would issue a second time what another keeper
-    has issued.
+    the coordinator of a limit it would issue a second time what another
+    coordinator has issued.
     """
     gateways, clock = _make_fleet(6)
     _beat_all(gateways)
--- a/tests/limits/test_backpressure.py
+++ b/tests/limits/test_backpressure.py
@@ -41,7 +41,7 @@
     assert book.read_limit("i-1") == 2.0
 
 
-def test_the_newest_limit_applies_whoever_received_it():
+def test_the_newest_limit_applies_whichever_gateway_received_it():
     """Heartbeats can arrive out of order: a late, older report must not
     restore a limit, and a newer one must end it.
     """
@@ -57,8 +57,8 @@
 
 
 def test_only_limits_received_from_targets_are_reported():
-    """If gateways forwarded the reports of others, a limit would stay current
-    for ever.
+    """If gateways forwarded the reports of others, a limit would never
+    expire.
     """
     book, clock = _make_book()
     book.take_reported("g-2", [ReportedLimit("i-1", 1.2, 0.0)])
--- a/tests/placement/test_controller.py
+++ b/tests/placement/test_controller.py
@@ -324,9 +324,9 @@
 
 
 async def test_the_leader_continues_without_the_store(autojump_clock, fleet):
-    """The store becomes unreachable for good.  The leader continues although
-    its lease expires, the other gateway does not act as well, and a failed
-    engine is replaced.
+    """The store becomes unreachable permanently.  The leader continues
+    although its lease expires, the other gateway does not act as well, and a
+    failed engine is replaced.
     """
     first = fleet.add_gateway("g-1")
     await _wait_for_complete_path(fleet, 12.0)
--- a/tests/placement/test_plan.py
+++ b/tests/placement/test_plan.py
@@ -80,7 +80,7 @@
 
 @pytest.mark.parametrize("name", sorted(_make_engines()))
 def test_the_failure_of_any_engine_is_repaired(name):
-    """An engine fails for good.  Its data centre has a complete path again
+    """An engine fails permanently.  Its data centre has a complete path again
     after at most four loads, and other data centres do not change.
     """
     engines = _make_engines()
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -36,7 +36,7 @@
 
 
 def test_a_stalled_reader_loses_lines_but_blocks_nothing(pipe):
-    """A blocking write would stall the process while nobody reads the pipe.
+    """A blocking write would stall the process while the pipe is not read.
     Ten thousand lines are logged: no call waits, and the number of dropped
     lines is reported once the pipe is read again.
     """
