--- a/magnoliacove/directory/health.py
+++ b/magnoliacove/directory/health.py
@@ -1,6 +1,6 @@
 """Suspicions that targets are unreachable or faulty.
 
-A suspicion blocks new work for a limited time and expires by itself.  Each
+A suspicion blocks new work for a limited time and expires automatically.  Each
 repeated suspicion lasts twice as long, so a target that fails repeatedly
 gets less and less work, and one suspected wrongly is soon in use again.
 """
@@ -15,7 +15,7 @@
 __all__ = ["Health", "Suspicion"]
 
 # Seconds that the first and the longest suspicion of a target last.  The
-# first one outlasts the three heartbeats after which the entry of a dead
+# first one outlasts the three heartbeats after which the entry of a failed
 # engine is removed.
 _INITIAL_DURATION = 2.0
 _MAX_DURATION = 16.0
@@ -123,11 +123,11 @@
         for listener in self._listeners:
             listener(suspicion)
 
-    def forget(self, known: set[str]) -> None:
+    def discard_unlisted(self, listed: set[str]) -> None:
         """Discard the suspicions of targets that no longer exist.
 
-        :param known: the names of the targets that exist.
+        :param listed: the names of the targets that exist.
         """
-        for target in set(self._durations) - known:
+        for target in set(self._durations) - listed:
             self._durations.pop(target)
             self._suspicions.pop(target, None)
--- a/magnoliacove/gateway/peering.py
+++ b/magnoliacove/gateway/peering.py
@@ -16,7 +16,7 @@
 from magnoliacove.peers import Heartbeat
 from magnoliacove.peers import Heartbeats
 from magnoliacove.peers import ReportedCrash
-from magnoliacove.peers import ReportedHolding
+from magnoliacove.peers import ReportedEngineStatus
 from magnoliacove.peers import ReportedQuarantine
 from magnoliacove.peers import ReportedSuspicion
 from magnoliacove.placement.leadership import STORE_OUTAGE_SECONDS
@@ -125,7 +125,7 @@
                 for s in state.health.list_suspicions()
             ),
             holdings=tuple(
-                ReportedHolding(target, age, status)
+                ReportedEngineStatus(target, age, status)
                 for target, age, status in self._list_engine_statuses()
             ),
             services=state.retry_budget.list_counts(),
@@ -153,7 +153,7 @@
             *(ReportedCrash(run, age) for run, age in crashes.list_own()),
             *(
                 ReportedCrash(run, age, silent=True)
-                for run, age in crashes.silent.list_own()
+                for run, age in crashes.unresponsive.list_own()
             ),
         )
 
@@ -213,7 +213,7 @@
         state.crash_history.take_answered(heartbeat.name, heartbeat.answered)
         for crash in heartbeat.crashes:
             if crash.silent:
-                state.crash_history.silent.note(crash.run, own=False)
+                state.crash_history.unresponsive.note(crash.run, own=False)
             else:
                 self._crash_watch.record_reported_crash(crash.run, crash.age)
         for reported in heartbeat.quarantines:
@@ -239,9 +239,9 @@
 
     def _remove_peers(self, names: list[str]) -> None:
         self._state.crash_history.forget_peers(names)
-        self._state.loads.forget(names)
-        self._state.retry_budget.forget(names)
-        self._state.unreported.forget(names)
+        self._state.loads.forget_peers(names)
+        self._state.retry_budget.forget_peers(names)
+        self._state.unreported.forget_peers(names)
         self._sharing.remove_peers(names)
 
     def announce_update(self) -> None:
--- a/magnoliacove/gateway/process.py
+++ b/magnoliacove/gateway/process.py
@@ -188,7 +188,7 @@
             controller.ControllerInputs(
                 targets=targets,
                 health=health,
-                holdings=engine_statuses,
+                engine_statuses=engine_statuses,
                 loads=loads,
                 permits=permits,
                 calls=self._calls,
@@ -249,8 +249,8 @@
             if balancer_done:
                 # A balancer without another gateway in this data centre
                 # continues to send callers here.  A caller that is refused
-                # tries elsewhere, while one that is accepted now would be cut
-                # off at the end of the grace time.
+                # retries elsewhere, while one that is accepted now would be
+                # cut off at the end of the grace time.
                 self._accepting.cancel()
                 for connection in tuple(self._connections):
                     connection.close_if_idle()
@@ -362,11 +362,11 @@
             await trio.sleep(_TIDY_INTERVAL)
             state.targets.expire()
             listed = {target.name for target in state.targets.list_all()}
-            state.health.forget(listed)
-            state.engine_statuses.forget(listed)
-            state.candidates.forget(listed)
-            state.backpressure.forget(listed)
-            state.permits.forget(listed)
+            state.health.discard_unlisted(listed)
+            state.engine_statuses.discard_unlisted(listed)
+            state.candidates.discard_unlisted(listed)
+            state.backpressure.discard_unlisted(listed)
+            state.permits.discard_unlisted(listed)
             self._stalls.discard_unlisted(listed)
             self._crash_watch.discard_old()
             await state.pool.close_expired(listed)
--- a/magnoliacove/limits/unreported.py
+++ b/magnoliacove/limits/unreported.py
@@ -87,7 +87,7 @@
         """Return this gateway's requests of each service in the window."""
         return {name: self._own.count(name) for name in self._own.list_names()}
 
-    def read_pace(self, service: str, gateway: str = "") -> float:
+    def read_request_rate(self, service: str, gateway: str = "") -> float:
         """Return the requests per second that a gateway had for a service.
 
         :param gateway: another gateway, or "" for this one.
@@ -122,7 +122,7 @@
             total = self._sums.get(service, _Sum())
             self._sums[service] = total.add(rate, report.received_at)
 
-    def forget(self, gateways: Iterable[str]) -> None:
+    def forget_peers(self, gateways: Iterable[str]) -> None:
         """Discard the reports of gateways that are unreachable."""
         for gateway in gateways:
             self._subtract(gateway)
